--- a/benchmarks/capacity_slopes/discovery_starts.py
+++ b/benchmarks/capacity_slopes/discovery_starts.py
@@ -8,7 +8,7 @@
 import statistics
 from collections import Counter
 
-from gateway.network.backoff import Backoff
+from gateway.network.discovery.backoff import Backoff
 
 from .tables import print_header, print_row
 
--- a/benchmarks/capacity_slopes/listed_backends.py
+++ b/benchmarks/capacity_slopes/listed_backends.py
@@ -6,11 +6,11 @@
 from functools import partial
 from typing import NamedTuple
 
-from gateway.network.backend_pool import BackendPool
-from gateway.network.configuration import Address
-from gateway.network.endpoint_delivery import ENDPOINTS_PER_TURN
-from gateway.network.endpoint_list import parse_endpoints
-from gateway.network.json_stream import iterate_array
+from gateway.network.address import Address
+from gateway.network.backends.pool import BackendPool
+from gateway.network.codecs.json_stream import iterate_array
+from gateway.network.discovery.delivery import ENDPOINTS_PER_TURN
+from gateway.network.discovery.endpoint_list import parse_endpoints
 from gateway.network.timers import TimerQueue
 from gateway.policy.events import Endpoint, EndpointState, EndpointUpdate, TimerFired, UpdateKind
 from gateway.policy.policy import GatewayPolicy
--- a/benchmarks/capacity_slopes/policies.py
+++ b/benchmarks/capacity_slopes/policies.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from gateway.network.endpoint_list import backend_id_of
+from gateway.network.discovery.endpoint_list import backend_id_of
 from gateway.policy.events import (
     AttemptEnded,
     Endpoint,
--- a/gateway/__main__.py
+++ b/gateway/__main__.py
@@ -8,9 +8,9 @@
 
 import uvloop
 
-from .network.configuration import ConfigurationError
-from .network.endpoint_list import EndpointListError
-from .network.gateway_server import run_until_signalled
+from .network.discovery.endpoint_list import EndpointListError
+from .network.process.configuration import ConfigurationError
+from .network.process.server import run_until_signalled
 
 BAD_CONFIGURATION = 2
 """Exit status where the configuration is missing or not valid."""
--- /dev/null
+++ b/gateway/network/backends/__init__.py
@@ -0,0 +1,1 @@
+"""Connections to the backends, and the attempts that use them."""
--- a/gateway/network/attempt.py
+++ b/gateway/network/backends/attempt.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from ..policy.events import Outcome
-from .timers import Timer
+from gateway.network.timers import Timer
+from gateway.policy.events import Outcome
 
 
 class AttemptConnection(Protocol):
--- a/gateway/network/backend_connection.py
+++ b/gateway/network/backends/connection.py
@@ -15,13 +15,14 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from ..policy.events import Outcome
+from gateway.network.address import Address
+from gateway.network.codecs.resp import ProtocolError
+from gateway.network.codecs.resp_replies import Reply, parse_reply
+from gateway.network.timers import now_ms
+from gateway.policy.events import Outcome
+
 from .attempt import BackendAttempt
-from .configuration import Address
 from .idle_loss import IdleLossEstimator
-from .resp import ProtocolError
-from .resp_replies import Reply, parse_reply
-from .timers import now_ms
 
 RECEIVE_BUFFER_BYTES = 64 * 1024
 """Most that is read from a connection at once."""
--- a/gateway/network/backend_pool.py
+++ b/gateway/network/backends/pool.py
@@ -7,11 +7,12 @@
 import math
 from collections import Counter
 
-from ..policy.events import EndpointState, Outcome
+from gateway.network.address import Address, parse_address
+from gateway.network.timers import TimerQueue, now_ms
+from gateway.policy.events import EndpointState, Outcome
+
 from .attempt import BackendAttempt
-from .backend_connection import BackendConnection, ConnectionResources, PooledEndpoint
-from .configuration import Address, parse_address
-from .timers import TimerQueue, now_ms
+from .connection import BackendConnection, ConnectionResources, PooledEndpoint
 
 log = logging.getLogger(__name__)
 
--- a/gateway/network/client_connection.py
+++ b/gateway/network/clients/connection.py
@@ -14,11 +14,12 @@
 from collections import Counter, deque
 from typing import Protocol
 
+from gateway.network.codecs.resp import ProtocolError, encode_bulk_string
+from gateway.network.codecs.resp_commands import CommandParser
+from gateway.network.timers import now_ms
+
 from .pending_reply import PendingReply, RequestHandler
 from .request_parser import REQUEST_COMMANDS, InvalidRequestError, RequestParser
-from .resp import ProtocolError, encode_bulk_string
-from .resp_commands import CommandParser
-from .timers import now_ms
 
 MAX_PENDING_REPLIES = 32
 """Commands of one connection that may wait for their replies before it takes no further one."""
--- a/gateway/network/client_listener.py
+++ b/gateway/network/clients/listener.py
@@ -12,10 +12,11 @@
 from collections import Counter
 from dataclasses import dataclass
 
-from .client_connection import FIRST_REQUEST_GRACE_MS, ClientConnection
+from gateway.network.timers import Timer, TimerQueue, now_ms
+
+from .connection import FIRST_REQUEST_GRACE_MS, ClientConnection
 from .pending_reply import RequestHandler
 from .request_parser import RequestParser
-from .timers import Timer, TimerQueue, now_ms
 
 log = logging.getLogger(__name__)
 
--- a/gateway/network/request_parser.py
+++ b/gateway/network/clients/request_parser.py
@@ -9,9 +9,9 @@
 import re
 from dataclasses import dataclass
 
-from ..errors import GatewayError
-from ..policy.settings import Idempotency, RequestClass, Settings
-from .resp import encode_bulk_string
+from gateway.errors import GatewayError
+from gateway.network.codecs.resp import encode_bulk_string
+from gateway.policy.settings import Idempotency, RequestClass, Settings
 
 REQUEST_COMMANDS = {b"API.READ": True, b"API.WRITE": False}
 """The commands that are requests, and whether each serves idempotent request classes or the others."""
--- a/gateway/network/json_stream.py
+++ b/gateway/network/codecs/json_stream.py
@@ -11,7 +11,7 @@
 from collections.abc import Generator, Iterator
 from typing import Any
 
-from ..errors import GatewayError
+from gateway.errors import GatewayError
 
 MAX_OBJECT_SIZE = 64 * 1024 * 1024
 """Most bytes of one object: ten times those of the longest list that is expected."""
--- a/gateway/network/resp.py
+++ b/gateway/network/codecs/resp.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-from ..errors import GatewayError
+from gateway.errors import GatewayError
 
 
 class ProtocolError(GatewayError):
--- a/gateway/network/counter_call.py
+++ b/gateway/network/counter/call.py
@@ -4,9 +4,10 @@
 
 from collections.abc import Callable
 
-from ..policy.events import Outcome
-from .counter_protocol import CounterResult
-from .timers import Timer
+from gateway.network.timers import Timer
+from gateway.policy.events import Outcome
+
+from .protocol import CounterResult
 
 ResponseCallback = Callable[[str, Outcome, float], None]
 """Called once for each call with the counter's name, the outcome and the total (0 unless it succeeded)."""
--- a/gateway/network/counter_channel.py
+++ b/gateway/network/counter/channel.py
@@ -6,11 +6,12 @@
 from collections.abc import Callable
 from functools import partial
 
-from ..policy.events import Outcome
-from .configuration import Address
-from .counter_call import CounterCall
-from .counter_connection import CloseReason, CounterConnection
-from .counter_protocol import CounterResult
+from gateway.network.address import Address
+from gateway.policy.events import Outcome
+
+from .call import CounterCall
+from .connection import CloseReason, CounterConnection
+from .protocol import CounterResult
 
 
 class CounterChannel:
--- a/gateway/network/counter_client.py
+++ b/gateway/network/counter/client.py
@@ -8,12 +8,13 @@
 from collections import Counter, deque
 from functools import partial
 
-from .configuration import Address
-from .counter_call import CounterCall, ResponseCallback
-from .counter_channel import CounterChannel
-from .counter_connection import CloseReason
-from .counter_protocol import encode_increment
-from .timers import TimerQueue, now_ms
+from gateway.network.address import Address
+from gateway.network.timers import TimerQueue, now_ms
+
+from .call import CounterCall, ResponseCallback
+from .channel import CounterChannel
+from .connection import CloseReason
+from .protocol import encode_increment
 
 log = logging.getLogger(__name__)
 
--- a/gateway/network/counter_connection.py
+++ b/gateway/network/counter/connection.py
@@ -8,10 +8,11 @@
 from enum import Enum
 from typing import cast
 
-from ..policy.events import Outcome
-from .counter_call import CounterCall
-from .counter_protocol import CounterResult, parse_response
-from .timers import now_ms
+from gateway.network.timers import now_ms
+from gateway.policy.events import Outcome
+
+from .call import CounterCall
+from .protocol import CounterResult, parse_response
 
 SILENCE_TIMEOUT_MS = 300.0
 """A connection with unanswered calls that has sent nothing for this long counts as lost."""
--- a/gateway/network/counter_protocol.py
+++ b/gateway/network/counter/protocol.py
@@ -5,7 +5,7 @@
 import re
 from typing import NamedTuple
 
-from ..policy.events import Outcome
+from gateway.policy.events import Outcome
 
 TOTAL_RESPONSE = re.compile(rb"ok (-?\d{1,18}(?:\.\d{0,18})?(?:[eE][+-]?\d\d?)?)")
 """`float` alone accepts more than numbers: nan, inf, 1_0."""
--- /dev/null
+++ b/gateway/network/discovery/__init__.py
@@ -0,0 +1,1 @@
+"""The watch of the endpoint list at the discovery service."""
--- a/gateway/network/endpoint_delivery.py
+++ b/gateway/network/discovery/delivery.py
@@ -10,7 +10,8 @@
 from collections import deque
 from typing import NamedTuple, Protocol
 
-from ..policy.events import UpdateKind
+from gateway.policy.events import UpdateKind
+
 from .endpoint_list import EndpointListMessage, ListedEndpoint
 
 ENDPOINTS_PER_TURN = 64
--- a/gateway/network/endpoint_list.py
+++ b/gateway/network/discovery/endpoint_list.py
@@ -10,10 +10,10 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
-from ..errors import GatewayError
-from ..policy.events import Endpoint, EndpointState
-from .configuration import Address, parse_address
-from .json_stream import JsonStreamError, iterate_array
+from gateway.errors import GatewayError
+from gateway.network.address import Address, parse_address
+from gateway.network.codecs.json_stream import JsonStreamError, iterate_array
+from gateway.policy.events import Endpoint, EndpointState
 
 BACKEND_ID_BYTES = 8
 """Length of a backend id, in bytes: 64 bits make a collision within one list practically impossible."""
--- a/gateway/network/endpoint_stream.py
+++ b/gateway/network/discovery/stream.py
@@ -7,9 +7,9 @@
 
 import h11
 
-from ..errors import GatewayError
-from .configuration import Address
-from .json_stream import JsonObjectReader
+from gateway.errors import GatewayError
+from gateway.network.address import Address
+from gateway.network.codecs.json_stream import JsonObjectReader
 
 LIST_PATH = "/catalog/members"
 """Path of the endpoint list at discovery."""
--- a/gateway/network/endpoint_watch.py
+++ b/gateway/network/discovery/watch.py
@@ -11,12 +11,13 @@
 
 import h11
 
+from gateway.network.address import Address
+from gateway.network.codecs.json_stream import JsonStreamError
+
 from .backoff import Backoff
-from .configuration import Address
-from .endpoint_delivery import EndpointDelivery, EndpointListener
+from .delivery import EndpointDelivery, EndpointListener
 from .endpoint_list import EndpointListError
-from .endpoint_stream import DiscoveryError, DiscoveryOverloadedError, list_target, stream_objects
-from .json_stream import JsonStreamError
+from .stream import DiscoveryError, DiscoveryOverloadedError, list_target, stream_objects
 
 log = logging.getLogger(__name__)
 
--- a/gateway/network/dispatcher.py
+++ b/gateway/network/dispatcher.py
@@ -12,8 +12,8 @@
 from collections import deque
 from functools import partial
 
-from ..policy import GatewayPolicy
-from ..policy.actions import (
+from gateway.policy import GatewayPolicy
+from gateway.policy.actions import (
     Action,
     CancelAttempt,
     Fail,
@@ -23,7 +23,7 @@
     StartAttempt,
     WatchEndpoints,
 )
-from ..policy.events import (
+from gateway.policy.events import (
     AttemptEnded,
     ClientDisconnected,
     CounterResponse,
@@ -34,14 +34,15 @@
     TimerFired,
     UpdateKind,
 )
-from ..policy.settings import Settings
-from .attempt import BackendAttempt
-from .backend_pool import BackendPool
-from .counter_client import CounterClient
-from .endpoint_list import ListedEndpoint
-from .pending_reply import PendingReply
-from .request_parser import ClientRequest
-from .resp import encode_bulk_string
+from gateway.policy.settings import Settings
+
+from .backends.attempt import BackendAttempt
+from .backends.pool import BackendPool
+from .clients.pending_reply import PendingReply
+from .clients.request_parser import ClientRequest
+from .codecs.resp import encode_bulk_string
+from .counter.client import CounterClient
+from .discovery.endpoint_list import ListedEndpoint
 from .timers import Timer, TimerQueue, now_ms
 
 log = logging.getLogger(__name__)
@@ -224,7 +225,7 @@
         self._abandon_attempts(request, Outcome.CANCELLED)
         self._cancel_deadline_timer(request)
 
-    def _on_attempt_ended(  # noqa: PLR0913 - the first three are bound at the attempt's start
+    def _on_attempt_ended(  # noqa: PLR0913, PLR0917 - the first three are bound at the attempt's start
         self,
         request: OpenRequest,
         number: int,
--- /dev/null
+++ b/gateway/network/process/__init__.py
@@ -0,0 +1,1 @@
+"""The process of one gateway: configuration, start, reload, shutdown and descriptors."""
--- a/gateway/network/configuration.py
+++ b/gateway/network/process/configuration.py
@@ -9,11 +9,12 @@
 import json
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any, NamedTuple
+from typing import Any
 
-from ..errors import GatewayError
-from ..policy.settings import Settings
-from ..settings_document import parse_settings
+from gateway.errors import GatewayError
+from gateway.network.address import Address, parse_address
+from gateway.policy.settings import Settings
+from gateway.settings_document import parse_settings
 
 DEFAULT_MAX_DESCRIPTORS = 1024
 """File descriptors, where the configuration gives no limit: the usual soft limit of a process."""
@@ -38,17 +39,6 @@
     """The configuration cannot be read, or does not say what a gateway needs."""
 
 
-class Address(NamedTuple):
-    """A TCP address; a plain tuple to `socket.connect`."""
-
-    host: str
-    port: int
-
-    def __str__(self) -> str:
-        """The form that `parse_address` reads."""
-        return f"{self.host}:{self.port}"
-
-
 @dataclass(frozen=True, kw_only=True)
 class GatewayConfig:
     """What one gateway needs to know to start.
@@ -84,18 +74,6 @@
     cached_endpoints: dict[str, Any]
 
 
-def parse_address(text: str) -> Address:
-    """The address that "host:port" means.
-
-    Raises:
-        ValueError: `text` has no port, or one that is not a decimal number.
-    """
-    host, colon, port = str(text).rpartition(":")
-    if not colon or not port.isdigit():
-        raise ValueError(f"not an address: {text!r}")
-    return Address(host, int(port))
-
-
 def parse_config(document: dict[str, Any]) -> GatewayConfig:
     """The typed configuration of a decoded document.
 
--- a/gateway/network/reload.py
+++ b/gateway/network/process/reload.py
@@ -5,9 +5,10 @@
 import logging
 from collections.abc import Callable
 
+from gateway.network.counter.client import CounterClient
+from gateway.network.discovery.watch import EndpointWatcher
+
 from .configuration import ConfigurationError, GatewayConfig
-from .counter_client import CounterClient
-from .endpoint_watch import EndpointWatcher
 
 log = logging.getLogger("gateway")
 
--- a/gateway/network/gateway_server.py
+++ b/gateway/network/process/server.py
@@ -15,21 +15,22 @@
 from collections.abc import Callable
 from functools import partial
 
-from ..policy.events import UpdateKind
-from ..policy.settings import SafetyRules
-from .backend_pool import BackendPool
-from .backoff import Backoff
-from .client_listener import ClientLimits, ClientListener
+from gateway.network.backends.pool import BackendPool
+from gateway.network.clients.listener import ClientLimits, ClientListener
+from gateway.network.clients.request_parser import RequestParser
+from gateway.network.counter.client import CounterClient
+from gateway.network.discovery.backoff import Backoff
+from gateway.network.discovery.endpoint_list import EndpointListError, parse_endpoint_list
+from gateway.network.discovery.watch import EndpointWatcher
+from gateway.network.dispatcher import Dispatcher
+from gateway.network.timers import TimerQueue
+from gateway.policy.events import UpdateKind
+from gateway.policy.settings import SafetyRules
+
 from .configuration import GatewayConfig, load_config
-from .counter_client import CounterClient
 from .descriptor_budget import budget_descriptors
-from .dispatcher import Dispatcher
-from .endpoint_list import EndpointListError, parse_endpoint_list
-from .endpoint_watch import EndpointWatcher
 from .reload import ReloadSignal, reload_addresses
-from .request_parser import RequestParser
 from .shutdown_schedule import ShutdownSchedule
-from .timers import TimerQueue
 
 log = logging.getLogger("gateway")
 
--- a/gateway/network/shutdown_schedule.py
+++ b/gateway/network/process/shutdown_schedule.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from ..policy.settings import Settings
+from gateway.policy.settings import Settings
 
 CLIENT_REDIRECT_S = 0.45
 """Seconds after SIGTERM in which new connections still arrive."""
--- a/gateway/simulator/decoding.py
+++ b/gateway/simulator/decoding.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..policy.events import (
+from gateway.policy.events import (
     AttemptEnded,
     ClientDisconnected,
     CounterResponse,
@@ -24,7 +24,8 @@
     TimerFired,
     UpdateKind,
 )
-from ..policy.timers import TimerToken
+from gateway.policy.timers import TimerToken
+
 from .errors import WireFormatError
 
 ENDPOINT_STATES = {
--- a/gateway/simulator/encoding.py
+++ b/gateway/simulator/encoding.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from ..policy.actions import (
+from gateway.policy.actions import (
     Action,
     CancelAttempt,
     Fail,
--- a/gateway/simulator/errors.py
+++ b/gateway/simulator/errors.py
@@ -1,6 +1,6 @@
 """The error of the simulator's adapter."""
 
-from ..errors import GatewayError
+from gateway.errors import GatewayError
 
 
 class WireFormatError(GatewayError):
--- a/gateway/simulator/host.py
+++ b/gateway/simulator/host.py
@@ -5,8 +5,9 @@
 import json
 from typing import Any, TypedDict
 
-from ..policy.policy import GatewayPolicy
-from ..settings_document import parse_settings
+from gateway.policy.policy import GatewayPolicy
+from gateway.settings_document import parse_settings
+
 from .decoding import decode_event
 from .encoding import WireAction, encode_actions
 from .errors import WireFormatError
--- a/scale/fakes/backends.py
+++ b/scale/fakes/backends.py
@@ -6,7 +6,8 @@
 import time
 from functools import partial
 
-from ..resp import CommandReader
+from scale.resp import CommandReader
+
 from .service import FakeService, ServiceConnection
 
 SERVICE_COMMANDS = (b"API.READ", b"API.WRITE")
--- a/scale/fakes/endpoint_list.py
+++ b/scale/fakes/endpoint_list.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable, Sequence
 from typing import Any, NamedTuple
 
-from ..gateway_configuration import LOOPBACK, ZONES
+from scale.gateway_configuration import LOOPBACK, ZONES
 
 BACKENDS_PER_RACK = 40
 """Backends that stand in one failure domain, as in the fleet that the list is modelled on."""
--- a/scale/fakes/service.py
+++ b/scale/fakes/service.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import cast
 
-from ..gateway_configuration import LOOPBACK
+from scale.gateway_configuration import LOOPBACK
 
 LISTEN_BACKLOG = 4096
 """Connections that may wait to be accepted: a whole fleet starts at once."""
--- a/scale/fakes/worker.py
+++ b/scale/fakes/worker.py
@@ -6,7 +6,8 @@
 import time
 from typing import Any
 
-from ..histogram import LagMeter
+from scale.histogram import LagMeter
+
 from .backends import start_backends
 from .counter import FakeCounter, start_counter
 from .discovery import Announcement, FakeDiscovery, start_discovery
--- a/scale/hollow_gateway.py
+++ b/scale/hollow_gateway.py
@@ -17,18 +17,18 @@
 from dataclasses import dataclass
 from typing import Any, cast
 
-from gateway.network.attempt import BackendAttempt
-from gateway.network.backend_pool import BackendPool
-from gateway.network.backoff import Backoff
-from gateway.network.configuration import GatewayConfig, parse_config
-from gateway.network.counter_client import CounterClient
-from gateway.network.descriptor_budget import BACKEND_SHARE
+from gateway.network.backends.attempt import BackendAttempt
+from gateway.network.backends.pool import BackendPool
+from gateway.network.clients.pending_reply import PendingReply, ReplyConnection
+from gateway.network.clients.request_parser import RequestParser
+from gateway.network.counter.client import CounterClient
+from gateway.network.discovery.backoff import Backoff
+from gateway.network.discovery.endpoint_list import backend_id_of
+from gateway.network.discovery.watch import EndpointWatcher
 from gateway.network.dispatcher import Dispatcher
-from gateway.network.endpoint_list import backend_id_of
-from gateway.network.endpoint_watch import EndpointWatcher
-from gateway.network.gateway_server import BUFFER_SHARE, watch_retry_interval_s
-from gateway.network.pending_reply import PendingReply, ReplyConnection
-from gateway.network.request_parser import RequestParser
+from gateway.network.process.configuration import GatewayConfig, parse_config
+from gateway.network.process.descriptor_budget import BACKEND_SHARE
+from gateway.network.process.server import BUFFER_SHARE, watch_retry_interval_s
 from gateway.network.timers import TimerQueue
 from gateway.policy.events import Outcome, UpdateKind
 
--- a/tests/network/test_backend_endings.py
+++ b/tests/network/backends/test_backend_endings.py
@@ -41,7 +41,7 @@
 def test_close_that_crosses_a_send_may_have_run(monkeypatch: pytest.MonkeyPatch) -> None:
     """The backend's close is on its way as the request is written: nobody here can know yet."""
     monkeypatch.setattr(
-        "gateway.network.backend_connection.BackendConnection.is_alive", lambda _connection: True
+        "gateway.network.backends.connection.BackendConnection.is_alive", lambda _connection: True
     )
 
     async def scenario() -> None:
--- a/tests/network/test_backend_pool.py
+++ b/tests/network/backends/test_backend_pool.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from gateway.network import backend_pool
-from gateway.network.backend_connection import BackendConnection
-from gateway.network.backend_pool import BackendPool
+from gateway.network.backends import pool as backend_pool
+from gateway.network.backends.connection import BackendConnection
+from gateway.network.backends.pool import BackendPool
 from gateway.network.timers import now_ms
 from gateway.policy.events import EndpointState, Outcome
 from tests.support.backend_harness import (
--- a/tests/network/test_idle_loss.py
+++ b/tests/network/backends/test_idle_loss.py
@@ -5,7 +5,7 @@
 import asyncio
 import math
 
-from gateway.network.idle_loss import IdleLossEstimator
+from gateway.network.backends.idle_loss import IdleLossEstimator
 from gateway.policy.events import Outcome
 from tests.support.backend_harness import VALUE_REPLY, RecordedAttempt, open_pool, runs_in_loop
 from tests.support.loopback import Backend, Reply
--- a/tests/network/test_client_connection.py
+++ b/tests/network/clients/test_client_connection.py
@@ -6,8 +6,9 @@
 
 import pytest
 
-from gateway.network import client_connection, client_listener
-from gateway.network.client_listener import ClientListener
+from gateway.network.clients import connection as client_connection
+from gateway.network.clients import listener as client_listener
+from gateway.network.clients.listener import ClientListener
 from tests.support.loopback import Backend, Reply, World, encode, in_loop, request, running, until
 from tests.support.replies import is_error, served_reply
 
--- a/tests/network/test_client_endings.py
+++ b/tests/network/clients/test_client_endings.py
@@ -9,8 +9,9 @@
 
 import pytest
 
-from gateway.network import client_connection, client_listener
-from gateway.network.resp_commands import COMPACTION_THRESHOLD_BYTES
+from gateway.network.clients import connection as client_connection
+from gateway.network.clients import listener as client_listener
+from gateway.network.codecs.resp_commands import COMPACTION_THRESHOLD_BYTES
 from tests.support.clients import as_peer, connect, connect_at_once, running_listener
 from tests.support.loopback import LOCAL, encode, in_loop, request, until
 from tests.support.manual_server import reset
--- a/tests/network/test_client_listener.py
+++ b/tests/network/clients/test_client_listener.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from gateway.network import client_listener
-from gateway.network.client_listener import ClientListener
-from gateway.network.descriptor_budget import RESERVED_DESCRIPTORS
+from gateway.network.clients import listener as client_listener
+from gateway.network.clients.listener import ClientListener
+from gateway.network.process.descriptor_budget import RESERVED_DESCRIPTORS
 from tests.support.loopback import Backend, Peer, World, in_loop, running, until
 
 
--- a/tests/network/test_request_parser.py
+++ b/tests/network/clients/test_request_parser.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from gateway.network.request_parser import InvalidRequestError, RequestParser
+from gateway.network.clients.request_parser import InvalidRequestError, RequestParser
 from gateway.policy.settings import Idempotency, Plan, RequestClass
 from tests.support.loopback import Backend, Reply, World, in_loop, request, running
 from tests.support.policy_harness import settings
--- a/tests/network/test_json_stream.py
+++ b/tests/network/codecs/test_json_stream.py
@@ -10,8 +10,8 @@
 from hypothesis import strategies as st
 
 from gateway.errors import GatewayError
-from gateway.network import json_stream
-from gateway.network.json_stream import JsonObjectReader, JsonStreamError, iterate_array
+from gateway.network.codecs import json_stream
+from gateway.network.codecs.json_stream import JsonObjectReader, JsonStreamError, iterate_array
 
 BATCH_SIZE = 4
 SCALARS = st.one_of(st.none(), st.booleans(), st.integers(), st.text('ab"\\é', max_size=5))
--- a/tests/network/conftest.py
+++ b/tests/network/conftest.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from gateway.network.client_listener import ClientListener
+from gateway.network.clients.listener import ClientListener
 
 
 @pytest.fixture
--- a/tests/network/test_counter_client.py
+++ b/tests/network/counter/test_counter_client.py
@@ -8,9 +8,10 @@
 
 import pytest
 
-from gateway.network import counter_client, counter_connection
-from gateway.network.counter_client import CounterClient
-from gateway.network.counter_protocol import CounterResult, parse_response
+from gateway.network.counter import client as counter_client
+from gateway.network.counter import connection as counter_connection
+from gateway.network.counter.client import CounterClient
+from gateway.network.counter.protocol import CounterResult, parse_response
 from gateway.network.timers import TimerQueue
 from gateway.policy.events import Outcome
 from tests.support.loopback import LOCAL, Backend, Counter, Reply, World, in_loop, request, running, until
--- a/tests/network/test_backoff.py
+++ b/tests/network/discovery/test_backoff.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from gateway.network.backoff import MAX_DELAY_S, NOTIFICATION_BOUND_S, Backoff
+from gateway.network.discovery.backoff import MAX_DELAY_S, NOTIFICATION_BOUND_S, Backoff
 
 QUEUE_TIMEOUT_S = 2.0  # a call that waits longer in the service's queue is rejected, when its turn comes
 MAX_POLL_AGE_S = 10.0
--- a/tests/network/test_endpoint_endings.py
+++ b/tests/network/discovery/test_endpoint_endings.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from gateway.network.configuration import parse_config
-from gateway.network.endpoint_list import backend_id_of
-from gateway.network.endpoint_watch import MAX_UNANSWERED_CALLS
-from gateway.network.gateway_server import GatewayServer
+from gateway.network.discovery.endpoint_list import backend_id_of
+from gateway.network.discovery.watch import MAX_UNANSWERED_CALLS
+from gateway.network.process.configuration import parse_config
+from gateway.network.process.server import GatewayServer
 from gateway.policy.events import EndpointState, UpdateKind
 from tests.support.loopback import (
     LOCAL,
@@ -32,7 +32,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """What it holds at its return counts as notified at once: one lost call must not be waited for."""
-    monkeypatch.setattr("gateway.network.endpoint_stream.SILENCE_TIMEOUT_S", 3600.0)
+    monkeypatch.setattr("gateway.network.discovery.stream.SILENCE_TIMEOUT_S", 3600.0)
 
     async def scenario() -> None:
         async with Watch(service=SilentAgent(), reopen_after_s=0.01) as watch:
@@ -53,7 +53,7 @@
 
 def test_start_waits_for_the_agent_s_endpoint_list(monkeypatch: pytest.MonkeyPatch) -> None:
     """The list in its configuration may be old, and a drain that the agent knows of counts as notified."""
-    monkeypatch.setattr("gateway.network.gateway_server.FIRST_SNAPSHOT_TIMEOUT_S", 3600.0)
+    monkeypatch.setattr("gateway.network.process.server.FIRST_SNAPSHOT_TIMEOUT_S", 3600.0)
 
     async def scenario() -> None:
         drained = Backend()
@@ -83,7 +83,7 @@
 
 
 def test_start_proceeds_without_an_agent(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("gateway.network.gateway_server.FIRST_SNAPSHOT_TIMEOUT_S", 0.05)
+    monkeypatch.setattr("gateway.network.process.server.FIRST_SNAPSHOT_TIMEOUT_S", 0.05)
 
     async def scenario() -> None:
         world = World(Backend())
--- a/tests/network/test_endpoint_watch.py
+++ b/tests/network/discovery/test_endpoint_watch.py
@@ -12,10 +12,10 @@
 
 import pytest
 
-from gateway.network import endpoint_stream
-from gateway.network.backoff import Backoff
-from gateway.network.endpoint_delivery import ENDPOINTS_PER_TURN
-from gateway.network.endpoint_list import (
+from gateway.network.discovery import stream as endpoint_stream
+from gateway.network.discovery.backoff import Backoff
+from gateway.network.discovery.delivery import ENDPOINTS_PER_TURN
+from gateway.network.discovery.endpoint_list import (
     EndpointListError,
     ListedEndpoint,
     backend_id_of,
--- a/tests/network/test_notification_bound.py
+++ b/tests/network/discovery/test_notification_bound.py
@@ -11,9 +11,9 @@
 
 import pytest
 
-from gateway.network.backoff import NOTIFICATION_BOUND_S, Backoff
-from gateway.network.endpoint_list import ListedEndpoint
-from gateway.network.endpoint_watch import EndpointWatcher
+from gateway.network.discovery.backoff import NOTIFICATION_BOUND_S, Backoff
+from gateway.network.discovery.endpoint_list import ListedEndpoint
+from gateway.network.discovery.watch import EndpointWatcher
 from gateway.policy.events import EndpointState, UpdateKind
 from tests.support.loopback import LOCAL, Discovery, Watch, host
 from tests.support.virtual_time import in_virtual_time
--- a/tests/network/test_configuration.py
+++ b/tests/network/process/test_configuration.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from gateway.network.configuration import (
+from gateway.network.process.configuration import (
     Address,
     ConfigurationError,
     GatewayConfig,
--- a/tests/network/test_descriptor_budget.py
+++ b/tests/network/process/test_descriptor_budget.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from gateway.network.descriptor_budget import RESERVED_DESCRIPTORS, budget_descriptors
+from gateway.network.process.descriptor_budget import RESERVED_DESCRIPTORS, budget_descriptors
 from tests.support.gateway_process import connect, launched, port_of, reserve_port
 from tests.support.loopback import (
     LOCAL,
--- a/tests/network/test_gateway_server.py
+++ b/tests/network/process/test_gateway_server.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from gateway.network.configuration import parse_config
-from gateway.network.endpoint_watch import EndpointWatcher
-from gateway.network.gateway_server import GatewayServer
-from gateway.network.shutdown_schedule import ShutdownSchedule
+from gateway.network.discovery.watch import EndpointWatcher
+from gateway.network.process.configuration import parse_config
+from gateway.network.process.server import GatewayServer
+from gateway.network.process.shutdown_schedule import ShutdownSchedule
 from tests.support.loopback import Backend, Reply, World, in_loop, request, running, serving, until
 
 
--- a/tests/network/test_process_endings.py
+++ b/tests/network/process/test_process_endings.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from gateway.network import client_listener
-from gateway.network.shutdown_schedule import ShutdownSchedule
+from gateway.network.clients import listener as client_listener
+from gateway.network.process.shutdown_schedule import ShutdownSchedule
 from tests.support.clients import as_peer, connect, connect_at_once, running_listener
 from tests.support.loopback import Backend, Reply, World, encode, in_loop, request, running, until
 
--- a/tests/network/test_reload.py
+++ b/tests/network/process/test_reload.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from gateway.network.configuration import load_config
-from gateway.network.reload import ReloadSignal, reload_addresses
+from gateway.network.process.configuration import load_config
+from gateway.network.process.reload import ReloadSignal, reload_addresses
 from tests.support.invalid_configurations import INVALID_CONFIGURATIONS
 from tests.support.loopback import Watch, in_loop
 
--- a/tests/network/test_shutdown_schedule.py
+++ b/tests/network/process/test_shutdown_schedule.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from gateway.network.shutdown_schedule import ShutdownSchedule
+from gateway.network.process.shutdown_schedule import ShutdownSchedule
 from gateway.policy.settings import RequestClass
 from tests.support.policy_harness import settings
 
--- a/tests/network/test_dispatcher.py
+++ b/tests/network/test_dispatcher.py
@@ -9,12 +9,12 @@
 
 import pytest
 
-from gateway.network.backend_pool import BackendPool
-from gateway.network.client_connection import ClientConnection
-from gateway.network.client_listener import ClientLimits, ClientListener
+from gateway.network.backends.pool import BackendPool
+from gateway.network.clients.connection import ClientConnection
+from gateway.network.clients.listener import ClientLimits, ClientListener
+from gateway.network.clients.pending_reply import PendingReply
+from gateway.network.clients.request_parser import RequestParser
 from gateway.network.dispatcher import BUSY_REPLY, FAILED_REPLY, ID_IN_USE_REPLY, Dispatcher
-from gateway.network.pending_reply import PendingReply
-from gateway.network.request_parser import RequestParser
 from gateway.network.timers import TimerQueue
 from gateway.policy.actions import IncrementCounter, Reject, StartAttempt
 from gateway.policy.events import (
@@ -143,7 +143,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """By another one's the policy would hold it to be in flight for ever."""
-    monkeypatch.setattr("gateway.network.client_connection.DISCONNECT_CHECK_INTERVAL_MS", 0.0)
+    monkeypatch.setattr("gateway.network.clients.connection.DISCONNECT_CHECK_INTERVAL_MS", 0.0)
 
     async def scenario() -> None:
         scene = Scene()
--- a/tests/network/test_dispatcher_endings.py
+++ b/tests/network/test_dispatcher_endings.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from gateway.network.counter_client import CounterClient
+from gateway.network.counter.client import CounterClient
 from gateway.network.dispatcher import Dispatcher
 from gateway.network.timers import TimerQueue, now_ms
 from gateway.policy.actions import Action, IncrementCounter, StartAttempt
@@ -253,7 +253,7 @@
 
     A timer or a response brings the first attempt or a hedged request, a failed attempt the next one.
     """
-    monkeypatch.setattr("gateway.network.counter_connection.SILENCE_TIMEOUT_MS", math.inf)
+    monkeypatch.setattr("gateway.network.counter.connection.SILENCE_TIMEOUT_MS", math.inf)
 
     async def scenario() -> None:
         crossing = Crossing(trigger, count)
--- a/tests/support/backend_harness.py
+++ b/tests/support/backend_harness.py
@@ -8,8 +8,8 @@
 from contextlib import asynccontextmanager
 from typing import Any
 
-from gateway.network.attempt import BackendAttempt
-from gateway.network.backend_pool import REUSE_DELAY_MS, BackendPool
+from gateway.network.backends.attempt import BackendAttempt
+from gateway.network.backends.pool import REUSE_DELAY_MS, BackendPool
 from gateway.network.timers import TimerQueue, now_ms
 from gateway.policy.events import EndpointState, Outcome
 from tests.support.loopback import LOCAL, Backend, Reply, Server, encode, in_loop, request, until
--- a/tests/support/clients.py
+++ b/tests/support/clients.py
@@ -8,12 +8,12 @@
 from collections.abc import AsyncIterator, Callable
 from dataclasses import dataclass, field
 
-from gateway.network.backend_pool import BackendPool
-from gateway.network.client_listener import ClientLimits, ClientListener
-from gateway.network.counter_client import CounterClient
+from gateway.network.backends.pool import BackendPool
+from gateway.network.clients.listener import ClientLimits, ClientListener
+from gateway.network.clients.pending_reply import PendingReply
+from gateway.network.clients.request_parser import ClientRequest, RequestParser
+from gateway.network.counter.client import CounterClient
 from gateway.network.dispatcher import Dispatcher
-from gateway.network.pending_reply import PendingReply
-from gateway.network.request_parser import ClientRequest, RequestParser
 from gateway.network.timers import TimerQueue
 from gateway.policy.settings import Idempotency, Plan, RequestClass
 from tests.support.loopback import LOCAL, Peer
