--- a/tests/network/backends/test_backend_endings.py
+++ b/tests/network/backends/test_backend_endings.py
@@ -10,7 +10,8 @@
 
 from gateway.policy.events import EndpointState, Outcome
 from tests.support.backend_harness import RecordedAttempt, open_pool, wait_for_reuse_delay
-from tests.support.loopback import Backend, in_loop, until
+from tests.support.event_loop import run_in_loop, wait_until
+from tests.support.fake_services import FakeBackend
 from tests.support.manual_server import ManualServer, reset
 
 VALUE_REPLY = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
@@ -25,7 +26,7 @@
             attempt = RecordedAttempt(backends)
             connection = await server.accept_after(1)
             connection.sendall(received)
-            await until(lambda: backends.resources.buffered_bytes == len(received))
+            await wait_until(lambda: backends.resources.buffered_bytes == len(received))
 
             connection.shutdown(socket.SHUT_RDWR)
             reset(connection)
@@ -35,7 +36,7 @@
             assert backends.resources.buffered_bytes == 0
         server.close()
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_close_that_crosses_a_send_may_have_run(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -61,7 +62,7 @@
             assert not backends.connections
         server.close()
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_reply_and_timeout_in_one_moment_give_one_outcome() -> None:
@@ -87,14 +88,14 @@
             assert len(first.endings) == 1
         server.close()
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_connection_established_while_the_process_stalled_is_used() -> None:
     """Its time-out and its establishment are found together; the loop looks at its timers first."""
 
     async def scenario() -> None:
-        backend = Backend()
+        backend = FakeBackend()
         loop = asyncio.get_running_loop()
         async with open_pool(backend, connect_timeout_ms=1) as backends:
             attempts: list[RecordedAttempt] = []
@@ -107,10 +108,10 @@
 
             loop.add_reader(near, start_and_stall)
             far.send(b"go")
-            await until(lambda: attempts)
+            await wait_until(lambda: attempts)
 
             assert await attempts[0].result() == (Outcome.OK, b"value")
             near.close()
             far.close()
 
-    in_loop(scenario)
+    run_in_loop(scenario)
--- a/tests/network/backends/test_backend_pool.py
+++ b/tests/network/backends/test_backend_pool.py
@@ -22,14 +22,16 @@
     scripted,
     wait_for_reuse_delay,
 )
-from tests.support.loopback import LOCAL, Backend, Reply, Server, World, running, until
+from tests.support.event_loop import wait_until
+from tests.support.fake_services import FakeBackend, FakeServer, ScriptedReply
+from tests.support.gateway_harness import GatewayHarness, running_gateway
 
 # ---- what never ran ----
 
 
 @runs_in_loop
 async def test_refused_connection_ends_as_connect_error() -> None:
-    backend = Backend()
+    backend = FakeBackend()
     async with open_pool(backend) as pool:
         backend.server.close()
 
@@ -38,20 +40,20 @@
 
 @runs_in_loop
 async def test_attempt_at_an_unlisted_backend_ends_as_connect_error() -> None:
-    async with open_pool(Backend()) as pool:
+    async with open_pool(FakeBackend()) as pool:
         attempt = RecordedAttempt(pool, backend_id=9)
 
         assert await attempt.result() == (Outcome.CONNECT_ERROR, b"")
 
 
-class DeafServer(Server):
+class DeafServer(FakeServer):
     """Reads nothing until it is told to abort the connection."""
 
     def __init__(self) -> None:
         super().__init__()
         self.may_abort = asyncio.Event()
 
-    async def talk(self, _reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def handle_connection(self, _reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.transport.pause_reading()  # type: ignore[attr-defined]
         await self.may_abort.wait()
         writer.transport.abort()
@@ -65,7 +67,7 @@
         attempt = RecordedAttempt(pool, body=b"x" * 32_000_000)
         connection = attempt.attempt.connection
         assert isinstance(connection, BackendConnection)
-        await until(lambda: server.accepted and connection.is_waiting_to_write)
+        await wait_until(lambda: server.accepted and connection.is_waiting_to_write)
 
         server.may_abort.set()
 
@@ -74,7 +76,7 @@
 
 @runs_in_loop
 async def test_timeout_before_the_connection_is_up_ends_as_connect_error() -> None:
-    async with open_pool(Backend()) as pool:
+    async with open_pool(FakeBackend()) as pool:
         attempt = RecordedAttempt(pool)
 
         pool.abandon(attempt.attempt, Outcome.TIMED_OUT)
@@ -85,39 +87,39 @@
 @runs_in_loop
 async def test_drain_reported_while_connecting_keeps_the_request_back() -> None:
     """The end of the grace holds at the first byte written, not when the attempt was started."""
-    backend = Backend()
+    backend = FakeBackend()
     async with open_pool(backend, drain_grace_ms=0) as pool:
         attempt = RecordedAttempt(pool)  # the connection is not up yet
 
-        pool.update(0, (LOCAL, backend.port), EndpointState.DRAINING)
+        pool.update(0, backend.address, EndpointState.DRAINING)
 
         assert await attempt.outcome() is Outcome.CONNECT_ERROR
         assert await RecordedAttempt(pool).outcome() is Outcome.CONNECT_ERROR
-        await until(lambda: not backend.open)
-        assert not backend.got
+        await wait_until(lambda: not backend.open)
+        assert not backend.received
 
 
 @runs_in_loop
 async def test_request_that_expired_while_connecting_is_not_sent() -> None:
-    backend = Backend()
+    backend = FakeBackend()
     async with open_pool(backend) as pool:
         attempt = RecordedAttempt(pool, timeout_ms=0)
 
         assert await attempt.outcome() is Outcome.NOT_STARTED
-        assert not backend.got
+        assert not backend.received
 
 
 @runs_in_loop
 async def test_retry_past_its_latest_start_once_connected_is_not_sent() -> None:
     """Later than the backends remember the first attempt, it would run a second time."""
-    backend = Backend()
+    backend = FakeBackend()
     async with open_pool(backend) as pool:
         attempt = RecordedAttempt(pool)  # the connection is not up before the next turn of the loop
 
         attempt.attempt.start_before = now_ms()
 
         assert await attempt.outcome() is Outcome.CONNECT_ERROR
-        assert not backend.got
+        assert not backend.received
 
 
 # ---- sending, abandoning, retrying ----
@@ -126,12 +128,12 @@
 @runs_in_loop
 async def test_large_request_is_sent_whole() -> None:
     body = b"x" * 8_000_000
-    backend = Backend()
+    backend = FakeBackend()
     async with open_pool(backend) as pool:
         attempt = RecordedAttempt(pool, body=body)
 
         assert await attempt.outcome() is Outcome.OK
-        assert backend.got[0][4] == body
+        assert backend.received[0][4] == body
 
 
 @runs_in_loop
@@ -140,7 +142,7 @@
     backend = scripted(None)
     async with open_pool(backend) as pool:
         attempt = RecordedAttempt(pool)
-        await until(lambda: backend.got)
+        await wait_until(lambda: backend.received)
         connection = attempt.attempt.connection
         assert isinstance(connection, BackendConnection)
         closed_at_end: list[bool] = []
@@ -149,35 +151,35 @@
         pool.abandon(attempt.attempt, Outcome.CANCELLED)
 
         assert closed_at_end == [True]
-        await until(lambda: backend.ended)
+        await wait_until(lambda: backend.ended)
 
 
 @runs_in_loop
 async def test_reset_attempt_is_retried_at_another_backend() -> None:
     reset: list[bytes] = []
 
-    async def reset_first(command: list[bytes]) -> Reply:
+    async def reset_first(command: list[bytes]) -> ScriptedReply:
         if not reset:
             reset.append(command[2])
             return b""
         return VALUE_REPLY
 
-    async with running(World(Backend(reset_first), Backend(reset_first))) as world:
-        client = await world.client()
+    async with running_gateway(GatewayHarness(FakeBackend(reset_first), FakeBackend(reset_first))) as harness:
+        client = await harness.client()
 
-        assert await world.ask(client) == b"value"
-        assert sorted(len(backend.got) for backend in world.backends) == [1, 1]
+        assert await harness.request(client) == b"value"
+        assert sorted(len(backend.received) for backend in harness.backends) == [1, 1]
 
 
 @runs_in_loop
 async def test_request_with_side_effects_that_may_have_run_is_not_retried() -> None:
-    async with running(World(scripted(b""), scripted(b""))) as world:
-        client = await world.client()
+    async with running_gateway(GatewayHarness(scripted(b""), scripted(b""))) as harness:
+        client = await harness.client()
 
-        reply = await world.ask(client, name=b"wipe", body=b"x")
+        reply = await harness.request(client, request_class=b"wipe", body=b"x")
 
         assert str(reply) == "ERR failed"
-        assert sum(len(backend.got) for backend in world.backends) == 1
+        assert sum(len(backend.received) for backend in harness.backends) == 1
 
 
 # ---- idle connections ----
@@ -185,7 +187,7 @@
 
 @runs_in_loop
 async def test_connection_used_last_is_reused_first() -> None:
-    backend = Backend()
+    backend = FakeBackend()
     async with open_pool(backend) as pool:
         await asyncio.gather(RecordedAttempt(pool).result(), RecordedAttempt(pool).result())
         assert backend.accepted == 2
@@ -200,22 +202,22 @@
 @runs_in_loop
 async def test_connection_that_the_backend_has_closed_is_not_written_to() -> None:
     """The end of a pooled connection may lie unread; a request written to it would end as a reset."""
-    backend = Backend()
+    backend = FakeBackend()
     async with open_pool(backend) as pool:
         assert await RecordedAttempt(pool).outcome() is Outcome.OK
         (connection,) = pool.endpoints[0].idle_connections
         pool.resources.loop.remove_reader(connection.fd)  # as if the event loop had not yet come to it
-        backend.hang_up()
-        await until(lambda: not connection.is_alive())
+        backend.close_connections()
+        await wait_until(lambda: not connection.is_alive())
 
         assert await RecordedAttempt(pool).outcome() is Outcome.OK
         assert backend.accepted == 2
-        assert len(backend.got) == 2
+        assert len(backend.received) == 2
 
 
 @runs_in_loop
 async def test_idle_connection_is_closed_before_the_backend_closes_it() -> None:
-    backend = Backend()
+    backend = FakeBackend()
     with pytest.MonkeyPatch.context() as monkeypatch:
         monkeypatch.setattr(backend_pool, "SWEEP_INTERVAL_MS", 5.0)
         async with open_pool(backend) as pool:
@@ -224,7 +226,7 @@
 
             connection.idle_since -= pool.max_idle_ms - 20
 
-            await until(lambda: backend.ended)
+            await wait_until(lambda: backend.ended)
             assert not pool.connections
             assert pool.max_idle_ms < POOL_SETTINGS["keepalive_ms"] * 0.8
 
@@ -234,14 +236,14 @@
 
 @runs_in_loop
 async def test_connection_bound_closes_idle_connections_and_then_rejects() -> None:
-    idle, silent = Backend(), scripted(None)
+    idle, silent = FakeBackend(), scripted(None)
     async with open_pool(idle, silent, max_connections=1) as pool:
         assert await RecordedAttempt(pool).outcome() is Outcome.OK
 
         in_flight = RecordedAttempt(pool, backend_id=1)
 
-        await until(lambda: silent.got)
-        await until(lambda: idle.ended)
+        await wait_until(lambda: silent.received)
+        await wait_until(lambda: idle.ended)
         assert await RecordedAttempt(pool).outcome() is Outcome.CONNECT_ERROR
         assert not in_flight.endings
         assert len(pool.connections) == 1
@@ -249,28 +251,28 @@
 
 @runs_in_loop
 async def test_connections_follow_a_changed_address() -> None:
-    old, new = Backend(), Backend()
+    old, new = FakeBackend(), FakeBackend()
     async with open_pool(old) as pool:
         await new.start()
         assert await RecordedAttempt(pool).outcome() is Outcome.OK
         await wait_for_reuse_delay(pool)
 
-        pool.update(0, (LOCAL, new.port), EndpointState.READY)
+        pool.update(0, new.address, EndpointState.READY)
 
         assert await RecordedAttempt(pool).outcome() is Outcome.OK
-        assert len(old.got) == 1
-        assert len(new.got) == 1
-        await until(lambda: old.ended)
+        assert len(old.received) == 1
+        assert len(new.received) == 1
+        await wait_until(lambda: old.ended)
         await new.stop()
 
 
 @asynccontextmanager
 async def pool_with_long_list() -> AsyncIterator[BackendPool]:
     """A pool of 2,000 listed backends, with a connection to backend 7."""
-    backend = Backend()
+    backend = FakeBackend()
     async with open_pool(backend) as pool:
         for backend_id in range(2_000):
-            pool.update(backend_id, (LOCAL, backend.port), EndpointState.READY)
+            pool.update(backend_id, backend.address, EndpointState.READY)
         assert not pool.endpoints, "a listed backend costs no more than an address"
         assert await RecordedAttempt(pool, 7).outcome() is Outcome.OK
         yield pool
--- a/tests/network/backends/test_backend_replies.py
+++ b/tests/network/backends/test_backend_replies.py
@@ -16,7 +16,8 @@
     scripted,
     wait_for_reuse_delay,
 )
-from tests.support.loopback import Backend, Reply, until
+from tests.support.event_loop import wait_until
+from tests.support.fake_services import FakeBackend, ScriptedReply
 
 VALUE_WITHOUT_METADATA = b"*3\r\n$5\r\nvalue\r\n"
 MALFORMED_REPLIES = [
@@ -88,7 +89,7 @@
 @pytest.mark.parametrize("reply", [VALUE_REPLY, b"-BUSY\r\n", b"-ERR failed\r\n"])
 @runs_in_loop
 async def test_reply_in_pieces_leaves_its_connection_usable(reply: bytes) -> None:
-    async def script(_command: list[bytes]) -> Reply:
+    async def script(_command: list[bytes]) -> ScriptedReply:
         (writer,) = backend.open
         for byte in reply:
             writer.write(bytes([byte]))
@@ -96,7 +97,7 @@
             await asyncio.sleep(0)
         return None
 
-    backend = Backend(script)
+    backend = FakeBackend(script)
     async with open_pool(backend) as pool:
         for _ in range(2):
             await RecordedAttempt(pool).result()
@@ -108,14 +109,14 @@
 @runs_in_loop
 async def test_bytes_after_a_reply_are_not_taken_for_the_next_reply() -> None:
     """A second reply or noise may come after the read that brought the first one."""
-    backend = Backend()
+    backend = FakeBackend()
     async with open_pool(backend) as pool:
         assert await RecordedAttempt(pool).outcome() is Outcome.OK
         (connection,) = pool.endpoints[0].idle_connections
         (writer,) = backend.open
         pool.resources.loop.remove_reader(connection.fd)  # as if the event loop had not yet come to it
         writer.write(VALUE_REPLY.replace(b"value", b"other"))
-        await until(lambda: not connection.is_alive())
+        await wait_until(lambda: not connection.is_alive())
         await wait_for_reuse_delay(pool)
 
         assert await RecordedAttempt(pool).result() == (Outcome.OK, b"value")
@@ -125,7 +126,7 @@
 @runs_in_loop
 async def test_connection_is_not_reused_before_it_has_rested() -> None:
     """Otherwise a second reply that is still on its way would be taken for the next one."""
-    backend = Backend()
+    backend = FakeBackend()
     async with open_pool(backend) as pool:
         assert await RecordedAttempt(pool).outcome() is Outcome.OK
         pool.endpoints[0].idle_connections[-1].idle_since = now_ms() + 60_000
@@ -141,17 +142,17 @@
     may_finish = asyncio.Event()
     seen: set[asyncio.StreamWriter] = set()
 
-    async def script(_command: list[bytes]) -> Reply:
+    async def script(_command: list[bytes]) -> ScriptedReply:
         (writer,) = backend.open - seen
         seen.add(writer)
         writer.write(b"*3\r\n$400000\r\n" + value[1:])
         await may_finish.wait()
         return b"x\r\n$-1\r\n$-1\r\n"
 
-    backend = Backend(script)
+    backend = FakeBackend(script)
     async with open_pool(backend, max_buffered_bytes=700_000) as pool:
         first = RecordedAttempt(pool)
-        await until(lambda: pool.resources.buffered_bytes > 390_000)
+        await wait_until(lambda: pool.resources.buffered_bytes > 390_000)
         second = RecordedAttempt(pool)
 
         assert await second.outcome() is Outcome.CONNECTION_RESET
--- a/tests/network/backends/test_idle_loss.py
+++ b/tests/network/backends/test_idle_loss.py
@@ -8,7 +8,7 @@
 from gateway.network.backends.idle_loss import IdleLossEstimator
 from gateway.policy.events import Outcome
 from tests.support.backend_harness import VALUE_REPLY, RecordedAttempt, open_pool, runs_in_loop
-from tests.support.loopback import Backend, Reply
+from tests.support.fake_services import FakeBackend, ScriptedReply
 
 
 @runs_in_loop
@@ -16,12 +16,12 @@
     """Backends may drop idle connections unannounced long before the time in the settings."""
     seen: set[asyncio.StreamWriter] = set()
 
-    async def reply_once_per_connection(_command: list[bytes]) -> Reply:
+    async def reply_once_per_connection(_command: list[bytes]) -> ScriptedReply:
         used = backend.open & seen
         seen.update(backend.open)
         return b"" if used else VALUE_REPLY
 
-    backend = Backend(reply_once_per_connection)
+    backend = FakeBackend(reply_once_per_connection)
     async with open_pool(backend) as pool:
         outcomes = []
         for _ in range(12):
--- a/tests/network/clients/test_client_connection.py
+++ b/tests/network/clients/test_client_connection.py
@@ -9,23 +9,27 @@
 from gateway.network.clients import connection as client_connection
 from gateway.network.clients import listener as client_listener
 from gateway.network.clients.listener import ClientListener
-from tests.support.loopback import Backend, Reply, World, encode, in_loop, request, running, until
+from tests.support.event_loop import run_in_loop, wait_until
+from tests.support.fake_services import FakeBackend, ScriptedReply
+from tests.support.gateway_harness import GatewayHarness, running_gateway
 from tests.support.replies import is_error, served_reply
+from tests.support.request_commands import request_command
+from tests.support.resp_peer import encode_command
 
 
-class GatedBackend(Backend):
+class GatedBackend(FakeBackend):
     """A backend that serves each request with its id, and none before the gate opens."""
 
     def __init__(self) -> None:
         super().__init__(self.serve_id)
         self.gate = asyncio.Event()
 
-    async def serve_id(self, command: list[bytes]) -> Reply:
+    async def serve_id(self, command: list[bytes]) -> ScriptedReply:
         await self.gate.wait()
         return served_reply(command[2])
 
 
-async def never_reply(_command: list[bytes]) -> Reply:
+async def never_reply(_command: list[bytes]) -> ScriptedReply:
     return None
 
 
@@ -33,29 +37,29 @@
     async def scenario() -> None:
         second_served = asyncio.Event()
 
-        async def serve_second_first(command: list[bytes]) -> Reply:
+        async def serve_second_first(command: list[bytes]) -> ScriptedReply:
             if command[2] == b"first":
                 await second_served.wait()
             else:
                 second_served.set()
             return served_reply(command[2])
 
-        async with running(World(Backend(serve_second_first))) as world:
-            peer = await world.client()
+        async with running_gateway(GatewayHarness(FakeBackend(serve_second_first))) as harness:
+            peer = await harness.client()
 
-            peer.send(*request(b"first"))
-            peer.send(*request(b"second"))
+            peer.send(*request_command(b"first"))
+            peer.send(*request_command(b"second"))
             peer.send(b"PING")
 
             assert [await peer.receive() for _ in range(3)] == [b"first", b"second", b"PONG"]
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_set_up_commands_of_client_libraries_are_answered() -> None:
     async def scenario() -> None:
-        async with running(World(Backend())) as world:
-            peer = await world.client()
+        async with running_gateway(GatewayHarness(FakeBackend())) as harness:
+            peer = await harness.client()
 
             for command in (b"CLIENT", b"SELECT", b"QUIT"):
                 peer.send(command)
@@ -63,24 +67,31 @@
 
             assert await peer.receive() is None
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_a_protocol_error_ends_its_own_connection_only() -> None:
     async def scenario() -> None:
-        async with running(World(Backend())) as world:
-            good = await world.client()
-            bad = await world.client()
+        async with running_gateway(GatewayHarness(FakeBackend())) as harness:
+            good = await harness.client()
+            bad = await harness.client()
 
-            bad.writer.write(encode(*request(b"early")) + b"?what\r\n" + encode(*request(b"late")))
+            bad.writer.write(
+                encode_command(*request_command(b"early"))
+                + b"?what\r\n"
+                + encode_command(*request_command(b"late"))
+            )
 
             assert await bad.receive() == b"value"  # what came before still gets its reply
             assert is_error(await bad.receive())
             assert await bad.receive() is None
-            assert await world.ask(good) == b"value"
-            assert [command[2] for command in world.backends[0].got] == [b"early", request()[2]]
+            assert await harness.request(good) == b"value"
+            assert [command[2] for command in harness.backends[0].received] == [
+                b"early",
+                request_command()[2],
+            ]
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_what_follows_a_protocol_error_does_not_pile_up(client_listeners: list[ClientListener]) -> None:
@@ -88,14 +99,14 @@
 
     async def scenario() -> None:
         backend = GatedBackend()
-        async with running(World(backend)) as world:
+        async with running_gateway(GatewayHarness(backend)) as harness:
             (listener,) = client_listeners
-            peer = await world.client()
-            await until(lambda: listener.connections)
+            peer = await harness.client()
+            await wait_until(lambda: listener.connections)
             (connection,) = listener.connections
 
-            peer.writer.write(encode(*request(b"early")) + b"?what\r\n" + b"x" * 10_000_000)
-            await until(lambda: backend.got)
+            peer.writer.write(encode_command(*request_command(b"early")) + b"?what\r\n" + b"x" * 10_000_000)
+            await wait_until(lambda: backend.received)
             assert connection.is_finishing
             await peer.writer.drain()  # read to its end, which alone would show that the client has left
 
@@ -104,54 +115,54 @@
             assert await peer.receive() == b"early"
             assert is_error(await peer.receive())
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_a_disconnect_cancels_the_open_request() -> None:
     async def scenario() -> None:
-        backend = Backend(never_reply)
-        async with running(World(backend)) as world:
-            peer = await world.client()
-            peer.send(*request())
-            await until(lambda: backend.got)
+        backend = FakeBackend(never_reply)
+        async with running_gateway(GatewayHarness(backend)) as harness:
+            peer = await harness.client()
+            peer.send(*request_command())
+            await wait_until(lambda: backend.received)
 
             peer.close()
 
-            await until(lambda: backend.ended)
+            await wait_until(lambda: backend.ended)
             # The id is free again, so nothing of the request is left.
             backend.script = backend.serve
-            assert await world.ask(await world.client()) == b"value"
+            assert await harness.request(await harness.client()) == b"value"
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_an_id_in_use_is_not_taken_twice() -> None:
     async def scenario() -> None:
         backend = GatedBackend()
-        async with running(World(backend)) as world:
-            first = await world.client()
-            second = await world.client()
-            first.send(*request(b"same"))
-            await until(lambda: backend.got)
+        async with running_gateway(GatewayHarness(backend)) as harness:
+            first = await harness.client()
+            second = await harness.client()
+            first.send(*request_command(b"same"))
+            await wait_until(lambda: backend.received)
 
-            assert is_error(await world.ask(second, id=b"same"))
+            assert is_error(await harness.request(second, id=b"same"))
 
             second.close()
             backend.gate.set()
             assert await first.receive() == b"same"
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_too_many_pipelined_commands_wait_unread() -> None:
     async def scenario() -> None:
         backend = GatedBackend()
-        async with running(World(backend)) as world:
-            peer = await world.client()
+        async with running_gateway(GatewayHarness(backend)) as harness:
+            peer = await harness.client()
             ids = [b"%04d" % number for number in range(client_connection.MAX_PENDING_REPLIES * 2)]
 
-            peer.writer.write(b"".join(encode(*request(id)) for id in ids))
-            await until(lambda: backend.got)
+            peer.writer.write(b"".join(encode_command(*request_command(id)) for id in ids))
+            await wait_until(lambda: backend.received)
             backend.gate.set()
 
             replies = [await peer.receive() for _ in ids]
@@ -161,19 +172,19 @@
             assert all(reply == id for id, reply in served)
             assert all(text.startswith("BUSY") for text in rejections)
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_a_slow_reader_does_not_grow_memory(client_listeners: list[ClientListener]) -> None:
     """A client that sends commands and never reads is read no further, so that its replies stay few."""
 
     async def scenario() -> None:
-        async with running(World(Backend())) as world:
+        async with running_gateway(GatewayHarness(FakeBackend())) as harness:
             (listener,) = client_listeners
-            peer = await world.client()
-            await until(lambda: listener.connections)
+            peer = await harness.client()
+            await wait_until(lambda: listener.connections)
             (connection,) = listener.connections
-            echo = encode(b"PING", b"x" * 65536)
+            echo = encode_command(b"PING", b"x" * 65536)
             written = 0
 
             while connection.is_reading:
@@ -187,7 +198,7 @@
             for _ in range(written):  # once it reads, it gets all of them
                 assert await peer.receive() == b"x" * 65536
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_a_client_that_never_reads_is_closed(
@@ -197,17 +208,17 @@
     monkeypatch.setattr(client_listener, "SWEEP_INTERVAL_MS", 10.0)
 
     async def scenario() -> None:
-        async with running(World(Backend())) as world:
+        async with running_gateway(GatewayHarness(FakeBackend())) as harness:
             (listener,) = client_listeners
-            peer = await world.client()
+            peer = await harness.client()
             peer.writer.transport.pause_reading()  # type: ignore[attr-defined]
-            await until(lambda: listener.connections)
+            await wait_until(lambda: listener.connections)
 
             while listener.connections:  # ended by the test's time limit if it never is
                 peer.send(b"PING", b"x" * 65536)
                 await asyncio.sleep(0)
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 @pytest.mark.parametrize(
@@ -216,7 +227,7 @@
         b"",
         b"*",
         b"*3\r\n$8\r\nAPI",
-        encode(*request(b"early")) + b"*4\r\n",
+        encode_command(*request_command(b"early")) + b"*4\r\n",
         b"*1\r\n$65536\r\n" + b"x" * 60_000,
     ],
 )
@@ -228,10 +239,10 @@
     monkeypatch.setattr(client_listener, "SWEEP_INTERVAL_MS", 10.0)
 
     async def scenario() -> None:
-        async with running(World(Backend())) as world:
-            idle = await world.client()
-            assert await world.ask(idle) == b"value"
-            peer = await world.client()
+        async with running_gateway(GatewayHarness(FakeBackend())) as harness:
+            idle = await harness.client()
+            assert await harness.request(idle) == b"value"
+            peer = await harness.client()
 
             peer.writer.write(sent)
 
@@ -239,6 +250,6 @@
                 assert await peer.receive() == b"value"
             assert is_error(await peer.receive())
             assert await peer.receive() is None
-            assert await world.ask(idle, id=b"later") == b"value"  # idle between commands is no offence
+            assert await harness.request(idle, id=b"later") == b"value"  # idle between commands is no offence
 
-    in_loop(scenario)
+    run_in_loop(scenario)
--- a/tests/network/clients/test_client_endings.py
+++ b/tests/network/clients/test_client_endings.py
@@ -13,11 +13,13 @@
 from gateway.network.clients import listener as client_listener
 from gateway.network.codecs.resp_commands import COMPACTION_THRESHOLD_BYTES
 from tests.support.clients import as_peer, connect, connect_at_once, running_listener
-from tests.support.loopback import LOCAL, encode, in_loop, request, until
+from tests.support.event_loop import run_in_loop, wait_until
 from tests.support.manual_server import reset
+from tests.support.request_commands import request_command
+from tests.support.resp_peer import LOCAL, encode_command
 
 
-@pytest.mark.parametrize("behind", [b"", b"?what\r\n", encode(b"QUIT")])
+@pytest.mark.parametrize("behind", [b"", b"?what\r\n", encode_command(b"QUIT")])
 def test_disconnect_behind_pipelined_requests_is_detected(behind: bytes) -> None:
     """Its end comes behind more requests than one connection may have waiting, or behind what ended it."""
 
@@ -26,18 +28,18 @@
             peer = await connect(port)
             count = client_connection.MAX_PENDING_REPLIES * (1 if behind else 3)
             ids = [b"%04d" % number for number in range(count)]
-            peer.writer.write(b"".join(encode(*request(id)) for id in ids) + behind)
-            await until(lambda: len(handler.pending) == client_connection.MAX_PENDING_REPLIES)
+            peer.writer.write(b"".join(encode_command(*request_command(id)) for id in ids) + behind)
+            await wait_until(lambda: len(handler.pending) == client_connection.MAX_PENDING_REPLIES)
 
             peer.close()
-            await until(lambda: not listener.connections)
+            await wait_until(lambda: not listener.connections)
 
             assert sorted(handler.disconnected) == sorted(handler.pending)
             for reply in list(handler.pending.values()):  # what was read ahead is not processed any more
                 reply.complete(b"+late\r\n")
             assert len(handler.pending) == client_connection.MAX_PENDING_REPLIES
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def send_backlog_and_close(port: int, size: int) -> None:
@@ -46,7 +48,7 @@
     client.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4 * size)
     client.connect((LOCAL, port))
     client.setblocking(False)
-    commands = b"".join(encode(*request(b"%06d" % number)) for number in range(size // 100))
+    commands = b"".join(encode_command(*request_command(b"%06d" % number)) for number in range(size // 100))
     data = memoryview(commands[:size])
     with contextlib.suppress(BlockingIOError):
         while data:
@@ -61,13 +63,13 @@
         async with running_listener(memory=16 * 2**20) as (listener, handler, port):
             send_backlog_and_close(port, 4 * client_connection.MAX_READ_AHEAD_BYTES)
             async with asyncio.timeout(5):
-                await until(lambda: handler.pending and not listener.connections)
+                await wait_until(lambda: handler.pending and not listener.connections)
 
             assert sorted(handler.disconnected) == sorted(handler.pending)
             assert len(handler.pending) == client_connection.MAX_PENDING_REPLIES
             assert listener.read_ahead_bytes == 0
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 @pytest.mark.parametrize("memory", [0, 1_000_000])
@@ -79,20 +81,20 @@
             peer = await connect(port)
             ids = [b"%05d" % number for number in range(10_000)]
 
-            peer.writer.write(b"".join(encode(*request(id)) for id in ids))
-            await until(lambda: handler.pending and not next(iter(listener.connections)).is_reading)
+            peer.writer.write(b"".join(encode_command(*request_command(id)) for id in ids))
+            await wait_until(lambda: handler.pending and not next(iter(listener.connections)).is_reading)
 
             (connection,) = listener.connections
             limit = max(client_connection.MAX_READ_AHEAD_BYTES, listener.max_read_ahead_bytes)
             assert connection.command_parser.buffered_bytes == listener.read_ahead_bytes
             assert limit < listener.read_ahead_bytes <= limit + client_listener.RECEIVE_BUFFER_BYTES
             for id in ids:  # and all of it is answered once there is capacity
-                await until(lambda id=id: id.decode() in handler.pending)  # type: ignore[misc]
-                handler.pending[id.decode()].complete(encode(id))
+                await wait_until(lambda id=id: id.decode() in handler.pending)  # type: ignore[misc]
+                handler.pending[id.decode()].complete(encode_command(id))
             assert [await peer.receive() for _ in ids] == [[id] for id in ids]
             assert listener.read_ahead_bytes == 0
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 @pytest.mark.parametrize("detected_by", ["a sweep", "a request"])
@@ -106,13 +108,13 @@
         async with running_listener(memory=0) as (listener, handler, port):
             leaving = await connect(port)
             staying = await connect(port)
-            flood = b"".join(encode(*request(b"g%04d" % number)) for number in range(1_700))
+            flood = b"".join(encode_command(*request_command(b"g%04d" % number)) for number in range(1_700))
             readable = client_connection.MAX_READ_AHEAD_BYTES + client_listener.RECEIVE_BUFFER_BYTES
             assert len(flood) > readable + client_connection.MAX_PENDING_REPLIES * 110
             leaving.writer.write(flood)
             staying.writer.write(flood.replace(b"g0", b"s0").replace(b"g1", b"s1"))
-            await until(lambda: len(listener.connections) == 2)
-            await until(lambda: not any(connection.is_reading for connection in listener.connections))
+            await wait_until(lambda: len(listener.connections) == 2)
+            await wait_until(lambda: not any(connection.is_reading for connection in listener.connections))
             replies = list(handler.pending.values())
 
             leaving.close()
@@ -124,14 +126,14 @@
                 return len(listener.connections) == 1
 
             async with asyncio.timeout(5):
-                await until(is_detected)
+                await wait_until(is_detected)
             expected = [f"g{number:04}" for number in range(client_connection.MAX_PENDING_REPLIES)]
             assert sorted(handler.disconnected) == expected
             for _ in range(20):
                 assert is_detected()  # the other one stays, whose requests lie as deep
                 await asyncio.sleep(0.002)
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_read_ahead_memory_is_freed_once_processed() -> None:
@@ -141,19 +143,21 @@
         async with running_listener(memory=16 * 2**20) as (listener, handler, port):
             peer = await connect(port)
             count = 10_000
-            peer.writer.write(b"".join(encode(*request(b"%05d" % number)) for number in range(count)))
-            await until(lambda: listener.read_ahead_bytes > 7 * client_connection.MAX_READ_AHEAD_BYTES)
+            peer.writer.write(
+                b"".join(encode_command(*request_command(b"%05d" % number)) for number in range(count))
+            )
+            await wait_until(lambda: listener.read_ahead_bytes > 7 * client_connection.MAX_READ_AHEAD_BYTES)
 
             handler.immediate_reply = b"-BUSY\r\n"
             (connection,) = listener.connections
             for reply in list(handler.pending.values()):
                 reply.complete(b"-BUSY\r\n")
-            await until(lambda: len(handler.pending) == count and listener.read_ahead_bytes == 0)
+            await wait_until(lambda: len(handler.pending) == count and listener.read_ahead_bytes == 0)
 
             kept = sys.getsizeof(connection.command_parser._buffer)
             assert kept < 2 * (COMPACTION_THRESHOLD_BYTES + client_listener.RECEIVE_BUFFER_BYTES)
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_read_ahead_of_all_connections_is_bounded() -> None:
@@ -162,16 +166,16 @@
     async def scenario() -> None:
         limit = client_connection.MAX_READ_AHEAD_BYTES
         async with running_listener(memory=8 * limit) as (listener, _handler, port):
-            flood = b"".join(encode(*request(b"%05d" % number)) for number in range(10_000))
+            flood = b"".join(encode_command(*request_command(b"%05d" % number)) for number in range(10_000))
             first = await connect(port)
             second = await connect(port)
 
             first.writer.write(flood)
-            await until(lambda: listener.connections and not next(iter(listener.connections)).is_reading)
+            await wait_until(lambda: listener.connections and not next(iter(listener.connections)).is_reading)
             second.writer.write(flood)
-            await until(lambda: len(listener.connections) == 2)
+            await wait_until(lambda: len(listener.connections) == 2)
             one, other = listener.connections
-            await until(lambda: not one.is_reading and not other.is_reading)
+            await wait_until(lambda: not one.is_reading and not other.is_reading)
 
             assert (
                 one.command_parser.buffered_bytes + other.command_parser.buffered_bytes
@@ -184,11 +188,11 @@
             )
             assert limit < other.command_parser.buffered_bytes <= limit + client_listener.RECEIVE_BUFFER_BYTES
             one.close()
-            await until(lambda: other.command_parser.buffered_bytes > listener.max_read_ahead_bytes)
+            await wait_until(lambda: other.command_parser.buffered_bytes > listener.max_read_ahead_bytes)
             other.close()
             assert listener.read_ahead_bytes == 0
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 @pytest.mark.parametrize("end", ["close", "reset", "end of sending"])
@@ -197,9 +201,9 @@
 
     async def scenario() -> None:
         async with running_listener() as (listener, handler, port):
-            commands = request(b"waits"), (b"CANCEL", b"waits"), request(b"too")
-            client = connect_at_once(port, b"".join(encode(*command) for command in commands))
-            await until(lambda: len(handler.pending) == 2)
+            commands = request_command(b"waits"), (b"CANCEL", b"waits"), request_command(b"too")
+            client = connect_at_once(port, b"".join(encode_command(*command) for command in commands))
+            await wait_until(lambda: len(handler.pending) == 2)
             assert not handler.disconnected  # no command ends a request
 
             if end == "end of sending":
@@ -208,10 +212,10 @@
                 reset(client)
             else:
                 client.close()
-            await until(lambda: not listener.connections)
+            await wait_until(lambda: not listener.connections)
 
             assert handler.disconnected == ["waits", "too"]
             if end == "end of sending":
                 assert await (await as_peer(client)).receive() is None
 
-    in_loop(scenario)
+    run_in_loop(scenario)
--- a/tests/network/clients/test_request_parser.py
+++ b/tests/network/clients/test_request_parser.py
@@ -6,9 +6,12 @@
 
 from gateway.network.clients.request_parser import InvalidRequestError, RequestParser
 from gateway.policy.settings import Idempotency, Plan, RequestClass
-from tests.support.loopback import Backend, Reply, World, in_loop, request, running
+from tests.support.event_loop import run_in_loop
+from tests.support.fake_services import FakeBackend, ScriptedReply
+from tests.support.gateway_harness import GatewayHarness, running_gateway
 from tests.support.policy_harness import settings
 from tests.support.replies import is_error, served_reply
+from tests.support.request_commands import request_command
 
 ATTRIBUTES = b"c=view,t=free,d=480,units=1,spread=1,first=0"
 CUSTOMER = b"00000000b4d65521"
@@ -61,38 +64,38 @@
 @pytest.mark.parametrize(("command", "reason"), INVALID_COMMANDS)
 def test_an_invalid_command_fails_alone_and_with_its_reason(command: tuple[bytes, ...], reason: str) -> None:
     async def scenario() -> None:
-        async with running(World(Backend())) as world:
-            peer = await world.client()
+        async with running_gateway(GatewayHarness(FakeBackend())) as harness:
+            peer = await harness.client()
 
             peer.send(*command)
-            peer.send(*request())
+            peer.send(*request_command())
 
             reply = await peer.receive()
             assert is_error(reply)
             assert str(reply) == f"ERR {reason}"
             assert await peer.receive() == b"value"
-            assert len(world.backends[0].got) == 1
+            assert len(harness.backends[0].received) == 1
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_values_and_bodies_pass_untouched_and_backends_learn_the_remaining_time() -> None:
     # The largest, 64 KiB. Line ends inside values would show a reply or a command that is encoded carelessly.
     blob = bytes(range(256)) * 256
 
-    async def reply_with_blob(_command: list[bytes]) -> Reply:
+    async def reply_with_blob(_command: list[bytes]) -> ScriptedReply:
         return served_reply(blob)
 
     async def scenario() -> None:
-        async with running(World(Backend(reply_with_blob))) as world:
-            peer = await world.client()
+        async with running_gateway(GatewayHarness(FakeBackend(reply_with_blob))) as harness:
+            peer = await harness.client()
 
-            reply = await world.ask(peer, name=b"wipe", body=blob)
+            reply = await harness.request(peer, request_class=b"wipe", body=blob)
 
             assert reply == blob
-            command, customer, request_id, attributes, body = world.backends[0].got[0]
+            command, customer, request_id, attributes, body = harness.backends[0].received[0]
             assert command == b"API.WRITE"
-            assert (customer, request_id) == request()[1:3]
+            assert (customer, request_id) == request_command()[1:3]
             assert body == blob
             before, name, rest = attributes.partition(b"d=")
             remaining_ms, _comma, after = rest.partition(b",")
@@ -100,7 +103,7 @@
             assert after == b"units=1,spread=1,first=0"
             assert 2000 < int(remaining_ms) <= 3000
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 @pytest.fixture
--- a/tests/network/codecs/test_resp_commands.py
+++ b/tests/network/codecs/test_resp_commands.py
@@ -6,36 +6,43 @@
 
 import pytest
 
-from tests.support.loopback import Backend, World, encode, in_loop, request, running
+from tests.support.event_loop import run_in_loop
+from tests.support.fake_services import FakeBackend
+from tests.support.gateway_harness import GatewayHarness, running_gateway
 from tests.support.replies import is_error
+from tests.support.request_commands import request_command
+from tests.support.resp_peer import encode_command
 
 
 def test_a_command_may_come_byte_by_byte() -> None:
     async def scenario() -> None:
-        async with running(World(Backend())) as world:
-            peer = await world.client()
+        async with running_gateway(GatewayHarness(FakeBackend())) as harness:
+            peer = await harness.client()
 
-            for byte in encode(*request(b"one")):
+            for byte in encode_command(*request_command(b"one")):
                 peer.writer.write(bytes([byte]))
                 await peer.writer.drain()
                 await asyncio.sleep(0)
 
             assert await peer.receive() == b"value"
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_many_commands_may_come_together() -> None:
     async def scenario() -> None:
-        async with running(World(Backend())) as world:
-            peer = await world.client()
+        async with running_gateway(GatewayHarness(FakeBackend())) as harness:
+            peer = await harness.client()
             numbers = [b"%d" % n for n in range(100)]
 
-            peer.writer.write(b"".join(encode(b"PING", n) for n in numbers) + encode(*request(b"two")))
+            peer.writer.write(
+                b"".join(encode_command(b"PING", n) for n in numbers)
+                + encode_command(*request_command(b"two"))
+            )
 
             assert [await peer.receive() for _ in range(101)] == [*numbers, b"value"]
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 @pytest.mark.parametrize(
@@ -61,45 +68,45 @@
     """Not only at the end of a line that may never end, or once 60 MB have come."""
 
     async def scenario() -> None:
-        async with running(World(Backend())) as world:
-            peer = await world.client()
+        async with running_gateway(GatewayHarness(FakeBackend())) as harness:
+            peer = await harness.client()
 
             peer.writer.write(data)
 
             assert is_error(await peer.receive())
             assert await peer.receive() is None
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 @pytest.mark.parametrize("data", [b"*5\r\n$999999\r\n" + b"x" * 200_000, b"*4294967294\r\n$1\r\na\r\n"])
 def test_a_command_beyond_all_bounds_ends_only_its_own_connection(data: bytes) -> None:
     async def scenario() -> None:
-        async with running(World(Backend())) as world:
-            good = await world.client()
-            bad = await world.client()
+        async with running_gateway(GatewayHarness(FakeBackend())) as harness:
+            good = await harness.client()
+            bad = await harness.client()
 
             bad.writer.write(data)
 
             assert is_error(await bad.receive())
             assert await bad.receive() is None
-            assert await world.ask(good) == b"value"
+            assert await harness.request(good) == b"value"
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_many_small_commands_in_one_read_are_all_answered() -> None:
     """Taken by calls within calls, each round of waiting commands would deepen the stack."""
 
     async def scenario() -> None:
-        async with running(World(Backend())) as world:
-            peer = await world.client()
+        async with running_gateway(GatewayHarness(FakeBackend())) as harness:
+            peer = await harness.client()
             count = 60_000
 
-            peer.writer.write(encode(b"") * count)
+            peer.writer.write(encode_command(b"") * count)
 
             for _ in range(count):
                 assert is_error(await peer.receive())
-            assert await world.ask(peer) == b"value"
+            assert await harness.request(peer) == b"value"
 
-    in_loop(scenario)
+    run_in_loop(scenario)
--- a/tests/network/counter/test_counter_client.py
+++ b/tests/network/counter/test_counter_client.py
@@ -14,7 +14,11 @@
 from gateway.network.counter.protocol import CounterResult, parse_response
 from gateway.network.timers import TimerQueue
 from gateway.policy.events import Outcome
-from tests.support.loopback import LOCAL, Backend, Counter, Reply, World, in_loop, request, running, until
+from tests.support.event_loop import run_in_loop, wait_until
+from tests.support.fake_services import FakeBackend, FakeCounter, ScriptedReply
+from tests.support.gateway_harness import GatewayHarness, running_gateway
+from tests.support.request_commands import request_command
+from tests.support.resp_peer import LOCAL
 
 Response = tuple[str, Outcome, float]
 
@@ -31,15 +35,15 @@
 
     async def answered(self, count: int) -> list[Response]:
         """Wait for so many responses, and return all that have come."""
-        await until(lambda: len(self.responses) >= count)
+        await wait_until(lambda: len(self.responses) >= count)
         return self.responses
 
 
 @asynccontextmanager
-async def calling(server: Counter, call_timeout_ms: float = 2_000.0) -> AsyncIterator[Calls]:
+async def calling(server: FakeCounter, call_timeout_ms: float = 2_000.0) -> AsyncIterator[Calls]:
     loop = asyncio.get_running_loop()
     await server.start()
-    client = CounterClient(loop, TimerQueue(loop), (LOCAL, server.port), call_timeout_ms)
+    client = CounterClient(loop, TimerQueue(loop), server.address, call_timeout_ms)
     try:
         yield Calls(client)
     finally:
@@ -49,16 +53,16 @@
 
 def test_calls_get_their_totals_in_order() -> None:
     async def scenario() -> None:
-        server = Counter()
+        server = FakeCounter()
         async with calling(server) as calls:
             for amount in (1.0, 2.5, -0.5):
                 calls.add(amount=amount)
 
             assert await calls.answered(3) == [("n", Outcome.OK, total) for total in (1.0, 3.5, 3.0)]
-            assert server.got[1] == [b"tally", b"n", b"2.500000", b"4000"]
+            assert server.received[1] == [b"tally", b"n", b"2.500000", b"4000"]
             assert server.accepted == 1
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_late_response_belongs_to_its_own_call() -> None:
@@ -67,13 +71,13 @@
     async def scenario() -> None:
         resumed = asyncio.Event()
 
-        async def answer_first_late(words: list[bytes]) -> Reply:
+        async def answer_first_late(words: list[bytes]) -> ScriptedReply:
             if words[2] == b"1.000000":
                 await resumed.wait()
                 return b"ok 111\r\n"
             return b"ok 222\r\n"
 
-        async with calling(Counter(answer_first_late), call_timeout_ms=300.0) as calls:
+        async with calling(FakeCounter(answer_first_late), call_timeout_ms=300.0) as calls:
             calls.add(amount=1.0)
             assert await calls.answered(1) == [("n", Outcome.TIMED_OUT, 0.0)]
 
@@ -83,25 +87,25 @@
 
             assert (await calls.answered(2))[1:] == [("n", Outcome.OK, 222.0)]
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_rejected_call_added_nothing() -> None:
     async def scenario() -> None:
-        async def reject(_words: list[bytes]) -> Reply:
+        async def reject(_words: list[bytes]) -> ScriptedReply:
             return b"busy\r\n"
 
-        async with calling(Counter(reject)) as calls:
+        async with calling(FakeCounter(reject)) as calls:
             calls.add()
 
             assert await calls.answered(1) == [("n", Outcome.QUEUE_FULL, 0.0)]
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_refused_connection_added_nothing_and_is_retried() -> None:
     async def scenario() -> None:
-        server = Counter()
+        server = FakeCounter()
         async with calling(server) as calls:
             server.server.close()
             calls.add()
@@ -109,25 +113,25 @@
 
             await server.start()
             for channel in calls.client.channels:
-                channel.address = (LOCAL, server.port)
+                channel.address = server.address
             calls.add()
 
             assert (await calls.answered(2))[1:] == [("n", Outcome.OK, 1.0)]
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_connection_lost_after_the_call_may_have_added() -> None:
     async def scenario() -> None:
-        async def hang_up(_words: list[bytes]) -> Reply:
+        async def close_connections(_words: list[bytes]) -> ScriptedReply:
             return b""
 
-        async with calling(Counter(hang_up)) as calls:
+        async with calling(FakeCounter(close_connections)) as calls:
             calls.add()
 
             assert await calls.answered(1) == [("n", Outcome.TIMED_OUT, 0.0)]
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_silent_connection_with_unanswered_calls_is_replaced(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -137,10 +141,10 @@
     async def scenario() -> None:
         is_silent = True
 
-        async def script(_words: list[bytes]) -> Reply:
+        async def script(_words: list[bytes]) -> ScriptedReply:
             return None if is_silent else b"ok 5\r\n"
 
-        server = Counter(script)
+        server = FakeCounter(script)
         async with calling(server, call_timeout_ms=100.0) as calls:
             calls.add()
             await calls.answered(1)
@@ -151,7 +155,7 @@
             assert (await calls.answered(2))[1:] == [("n", Outcome.OK, 5.0)]
             assert server.accepted == 2
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 @pytest.mark.parametrize(
@@ -173,10 +177,10 @@
     """Its amount was added; what follows there may be anything, and is no later call's response."""
 
     async def scenario() -> None:
-        async def script(words: list[bytes]) -> Reply:
+        async def script(words: list[bytes]) -> ScriptedReply:
             return b"ok \r\nok 999\r\n" if words[1] == b"malformed" else b"ok 7\r\n"
 
-        server = Counter(script)
+        server = FakeCounter(script)
         async with calling(server) as calls:
             calls.client.channels[1:] = [calls.client.channels[0]] * 3
             calls.add("malformed")
@@ -189,7 +193,7 @@
             assert (await calls.answered(3))[2:] == [("next", Outcome.OK, 7.0)]
             assert server.accepted == 2
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_log_names_the_counter_and_what_closed_its_connection(
@@ -198,13 +202,13 @@
     monkeypatch.setattr(counter_client, "SUMMARY_INTERVAL_MS", 5.0)
 
     async def scenario() -> None:
-        async def script(_words: list[bytes]) -> Reply:
+        async def script(_words: list[bytes]) -> ScriptedReply:
             return b"what\r\n"
 
-        server = Counter(script)
+        server = FakeCounter(script)
         async with calling(server) as calls:
             calls.add()
-            await until(lambda: caplog.records)
+            await wait_until(lambda: caplog.records)
 
             (record,) = caplog.records
             assert record.getMessage() == (
@@ -212,70 +216,72 @@
                 "their unanswered calls count as timed out"
             )
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_new_address_takes_new_calls_and_the_old_one_still_answers() -> None:
     async def scenario() -> None:
         resumed = asyncio.Event()
 
-        async def answer_late(_words: list[bytes]) -> Reply:
+        async def answer_late(_words: list[bytes]) -> ScriptedReply:
             await resumed.wait()
             return b"ok 111\r\n"
 
-        async def answer_at_once(_words: list[bytes]) -> Reply:
+        async def answer_at_once(_words: list[bytes]) -> ScriptedReply:
             return b"ok 222\r\n"
 
-        old = Counter(answer_late)
-        new = Counter(answer_at_once)
+        old = FakeCounter(answer_late)
+        new = FakeCounter(answer_at_once)
         await new.start()
         async with calling(old) as calls:
             calls.add("n")
-            await until(lambda: old.got)
+            await wait_until(lambda: old.received)
 
-            calls.client.move_to((LOCAL, new.port))
+            calls.client.move_to(new.address)
             calls.add("other")
             assert await calls.answered(1) == [("other", Outcome.OK, 222.0)]
             calls.add("n")
-            await until(lambda: len(new.got) == 2)
+            await wait_until(lambda: len(new.received) == 2)
             assert len(calls.responses) == 1  # reported now, it would be taken for the older call's
             resumed.set()
 
             assert (await calls.answered(3))[1:] == [("n", Outcome.OK, 111.0), ("n", Outcome.OK, 222.0)]
             assert not calls.client.unreported_calls
-            old.hang_up()
-            await until(lambda: not any(channel.draining for channel in calls.client.channels))
+            old.close_connections()
+            await wait_until(lambda: not any(channel.draining for channel in calls.client.channels))
         await new.stop()
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_quota_is_enforced_with_the_counter() -> None:
     async def scenario() -> None:
-        async with running(World(*(Backend() for _ in range(4)))) as world:
-            peer = await world.client()
+        async with running_gateway(GatewayHarness(*(FakeBackend() for _ in range(4)))) as harness:
+            peer = await harness.client()
 
-            replies = [await world.ask(peer, id=b"%d" % number, plan=b"basic") for number in range(8)]
+            replies = [await harness.request(peer, id=b"%d" % number, plan=b"basic") for number in range(8)]
 
             served = [reply for reply in replies if reply == b"value"]
             rejected = [str(reply) for reply in replies if reply != b"value"]
             assert 1 <= len(served) <= 4
             assert all(reply.startswith("BUSY ") for reply in rejected)
-            assert world.counter.got
+            assert harness.counter.received
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_silent_counter_does_not_delay_requests_for_long() -> None:
-    async def stay_silent(_words: list[bytes]) -> Reply:
+    async def stay_silent(_words: list[bytes]) -> ScriptedReply:
         return None
 
     async def scenario() -> None:
-        async with running(World(Backend(), counter=Counter(stay_silent))) as world:
-            peer = await world.client()
+        async with running_gateway(
+            GatewayHarness(FakeBackend(), counter=FakeCounter(stay_silent))
+        ) as harness:
+            peer = await harness.client()
 
-            peer.send(*request(plan=b"basic"))
+            peer.send(*request_command(plan=b"basic"))
 
             assert await peer.receive() == b"value"
 
-    in_loop(scenario)
+    run_in_loop(scenario)
--- a/tests/network/discovery/test_endpoint_watch.py
+++ b/tests/network/discovery/test_endpoint_watch.py
@@ -23,68 +23,72 @@
 )
 from gateway.policy import GatewayPolicy
 from gateway.policy.events import EndpointState, EndpointUpdate, UpdateKind
-from tests.support.loopback import LOCAL, Backend, Discovery, Watch, World, host, in_loop, running, until
+from tests.support.event_loop import run_in_loop, wait_until
+from tests.support.fake_services import FakeBackend, FakeDiscovery, endpoint_entry
+from tests.support.gateway_harness import GatewayHarness, running_gateway
 from tests.support.policy_harness import settings
+from tests.support.resp_peer import LOCAL
+from tests.support.watch_harness import WatchHarness
 
 LIST_LENGTH = 1_000  # endpoints, far more than are delivered in one turn
 
 
 def test_deltas_are_followed_from_the_known_version_on() -> None:
     async def scenario() -> None:
-        async with Watch() as watch:
-            await watch.watched(1)
+        async with WatchHarness() as watch:
+            await watch.wait_for_watches(1)
 
-            watch.service.say(b"")
-            watch.service.change(42, host("h0", 1, "draining"))
-            watch.service.change(43, host("h1", 1), whole=True)
-            await until(lambda: len(watch.heard) == 2)
+            watch.service.send_line(b"")
+            watch.service.send_update(42, endpoint_entry("h0", 1, "draining"))
+            watch.service.send_update(43, endpoint_entry("h1", 1), is_snapshot=True)
+            await wait_until(lambda: len(watch.updates) == 2)
 
             assert watch.service.requests == ["/catalog/members?stream=1&index=41"]
-            assert watch.heard == [
+            assert watch.updates == [
                 (UpdateKind.DELTA, [(backend_id_of("h0"), EndpointState.DRAINING)]),
                 (UpdateKind.SNAPSHOT, [(backend_id_of("h1"), EndpointState.READY)]),
             ]
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_snapshot_is_read_first_without_a_known_version() -> None:
     async def scenario() -> None:
-        async with Watch(version=None) as watch:
-            watch.service.whole = {"seq": 7, "whole": True, "hosts": [host("h0", 1)]}
+        async with WatchHarness(version=None) as watch:
+            watch.service.snapshot = {"seq": 7, "whole": True, "hosts": [endpoint_entry("h0", 1)]}
 
-            await watch.watched(1)
+            await watch.wait_for_watches(1)
 
             assert watch.service.requests == ["/catalog/members", "/catalog/members?stream=1&index=7"]
-            assert [kind for kind, _ in watch.heard] == [UpdateKind.SNAPSHOT]
+            assert [kind for kind, _ in watch.updates] == [UpdateKind.SNAPSHOT]
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_closed_watch_is_reopened_at_the_last_version() -> None:
     async def scenario() -> None:
-        async with Watch() as watch:
-            await watch.watched(1)
-            watch.service.change(50, host("h0", 1))
-            await until(lambda: watch.heard)
+        async with WatchHarness() as watch:
+            await watch.wait_for_watches(1)
+            watch.service.send_update(50, endpoint_entry("h0", 1))
+            await wait_until(lambda: watch.updates)
 
-            watch.service.hang_up()
-            await watch.watched(2)
+            watch.service.close_connections()
+            await watch.wait_for_watches(2)
 
             assert watch.service.requests[-1] == "/catalog/members?stream=1&index=50"
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_end_of_a_watch_is_logged_with_peer_and_consequence(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level(logging.INFO)
 
     async def scenario() -> None:
-        async with Watch() as watch:
-            await watch.watched(1)
+        async with WatchHarness() as watch:
+            await watch.wait_for_watches(1)
 
-            watch.service.hang_up()
-            await watch.watched(2)
+            watch.service.close_connections()
+            await watch.wait_for_watches(2)
 
             pattern = (
                 rf"watch of {LOCAL}:{watch.service.port} failed "
@@ -93,7 +97,7 @@
             )
             assert any(re.fullmatch(pattern, message) for message in caplog.messages)
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_silent_watch_is_reopened(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -101,30 +105,30 @@
     monkeypatch.setattr(endpoint_stream, "SILENCE_TIMEOUT_S", 0.05)
 
     async def scenario() -> None:
-        async with Watch() as watch:
-            await watch.watched(2)
+        async with WatchHarness() as watch:
+            await watch.wait_for_watches(2)
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_malformed_delta_brings_a_snapshot() -> None:
     async def scenario() -> None:
-        async with Watch() as watch:
-            await watch.watched(1)
+        async with WatchHarness() as watch:
+            await watch.wait_for_watches(1)
 
-            watch.service.change(42, {"host": "h0"})
-            await watch.watched(2)
+            watch.service.send_update(42, {"host": "h0"})
+            await watch.wait_for_watches(2)
 
             assert watch.service.requests[1] == "/catalog/members"
-            assert [kind for kind, _ in watch.heard] == [UpdateKind.SNAPSHOT]
+            assert [kind for kind, _ in watch.updates] == [UpdateKind.SNAPSHOT]
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_watch_outlives_a_fault_of_the_listener() -> None:
     async def scenario() -> None:
-        async with Watch() as watch:
-            await watch.watched(1)
+        async with WatchHarness() as watch:
+            await watch.wait_for_watches(1)
             faults = [RuntimeError("not now")]
 
             def fail_once(
@@ -135,14 +139,14 @@
                 watch.record(kind, endpoints, is_first, is_last)
 
             watch.listener = fail_once
-            watch.service.whole = {"seq": 43, "whole": True, "hosts": [host("h1", 1)]}
+            watch.service.snapshot = {"seq": 43, "whole": True, "hosts": [endpoint_entry("h1", 1)]}
 
-            watch.service.change(42, host("h0", 1))
-            await watch.watched(2)
+            watch.service.send_update(42, endpoint_entry("h0", 1))
+            await watch.wait_for_watches(2)
 
-            assert watch.heard == [(UpdateKind.SNAPSHOT, [(backend_id_of("h1"), EndpointState.READY)])]
+            assert watch.updates == [(UpdateKind.SNAPSHOT, [(backend_id_of("h1"), EndpointState.READY)])]
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 @pytest.mark.parametrize(
@@ -169,71 +173,73 @@
 
 def test_draining_backend_gets_no_new_requests_and_a_new_one_does() -> None:
     async def scenario() -> None:
-        first, second = Backend(), Backend()
-        world = World(first)
+        first, second = FakeBackend(), FakeBackend()
+        harness = GatewayHarness(first)
         await second.start()
-        async with running(world):
-            peer = await world.client()
-            assert await world.ask(peer) == b"value"
+        async with running_gateway(harness):
+            peer = await harness.client()
+            assert await harness.request(peer) == b"value"
 
-            world.discovery.change(42, host("h0", first.port, "draining"), host("h9", second.port))
-            await until(lambda: first.ended)  # the idle connection closes as the delta is applied
+            harness.discovery.send_update(
+                42, endpoint_entry("h0", first.port, "draining"), endpoint_entry("h9", second.port)
+            )
+            await wait_until(lambda: first.ended)  # the idle connection closes as the delta is applied
             for number in range(3):
-                assert await world.ask(peer, id=b"%d" % number) == b"value"
+                assert await harness.request(peer, id=b"%d" % number) == b"value"
 
-            assert len(first.got) == 1
-            assert len(second.got) == 3
+            assert len(first.received) == 1
+            assert len(second.received) == 3
         await second.stop()
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_move_reads_a_snapshot_at_the_new_address_first() -> None:
     async def scenario() -> None:
-        async with Watch() as watch:
-            await watch.watched(1)
+        async with WatchHarness() as watch:
+            await watch.wait_for_watches(1)
             await check_move(watch, "h0")
             await check_move(watch, "h1")  # a second move is as good
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
-async def check_move(watch: Watch, new_host: str) -> None:
+async def check_move(watch: WatchHarness, new_host: str) -> None:
     """Move a watch to a new discovery that lists one host, and close the old discovery."""
     old_discovery = watch.service
-    new_discovery = Discovery()
-    new_discovery.whole = {"seq": 7, "whole": True, "hosts": [host(new_host, 1)]}
+    new_discovery = FakeDiscovery()
+    new_discovery.snapshot = {"seq": 7, "whole": True, "hosts": [endpoint_entry(new_host, 1)]}
     await new_discovery.start()
 
-    watch.client.move_to((LOCAL, new_discovery.port))
+    watch.client.move_to(new_discovery.address)
     watch.service = new_discovery
-    await watch.watched(1)
+    await watch.wait_for_watches(1)
 
     assert new_discovery.requests == ["/catalog/members", "/catalog/members?stream=1&index=7"]
-    assert watch.heard[-1] == (UpdateKind.SNAPSHOT, [(backend_id_of(new_host), EndpointState.READY)])
-    await until(lambda: not old_discovery.open)
+    assert watch.updates[-1] == (UpdateKind.SNAPSHOT, [(backend_id_of(new_host), EndpointState.READY)])
+    await wait_until(lambda: not old_discovery.open)
     await old_discovery.stop()
 
 
 def test_move_does_not_wait_for_the_next_reopening() -> None:
     async def scenario() -> None:
-        async with Watch(reopen_after_s=3600.0) as watch:
-            await watch.watched(1)
-            watch.service.hang_up()
-            await until(lambda: not watch.service.open)
+        async with WatchHarness(reopen_after_s=3600.0) as watch:
+            await watch.wait_for_watches(1)
+            watch.service.close_connections()
+            await wait_until(lambda: not watch.service.open)
 
-            watch.client.move_to((LOCAL, watch.service.port))
-            await watch.watched(2)
+            watch.client.move_to(watch.service.address)
+            await watch.wait_for_watches(2)
 
             assert watch.service.requests[1:] == ["/catalog/members", "/catalog/members?stream=1&index=1"]
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
-class OverloadedDiscovery(Discovery):
+class OverloadedDiscovery(FakeDiscovery):
     """Rejects each call as overloaded."""
 
-    async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         self.requests.append("rejected")
         writer.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
@@ -258,21 +264,21 @@
 
     async def scenario() -> None:
         backoff = RecordingBackoff()
-        async with Watch(service=OverloadedDiscovery(), backoff=backoff) as watch:
-            await until(lambda: len(backoff.delays) == 3)
+        async with WatchHarness(service=OverloadedDiscovery(), backoff=backoff) as watch:
+            await wait_until(lambda: len(backoff.delays) == 3)
 
             assert watch.service.requests == ["rejected"] * 3
             assert backoff.delays[0] >= 0.5, "the first delay grows with the fleet"
             assert backoff.delays[2] > backoff.delays[0], "each rejection doubles the delay"
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def long_list(seq: int, health: str = "up") -> dict[str, Any]:
     return {
         "seq": seq,
         "whole": True,
-        "hosts": [host(f"h{number}", 1, health) for number in range(LIST_LENGTH)],
+        "hosts": [endpoint_entry(f"h{number}", 1, health) for number in range(LIST_LENGTH)],
     }
 
 
@@ -281,7 +287,7 @@
     """Danger: read in one piece, a list of 39,000 holds up all requests for most of a second."""
 
     async def scenario() -> None:
-        async with Watch(version=None) as watch:
+        async with WatchHarness(version=None) as watch:
             parts: list[tuple[int, bool, bool]] = []
             turns_at: list[int] = []
             turns = 0
@@ -295,7 +301,7 @@
 
             watch.listener = note_part
             message = long_list(7)
-            watch.service.whole = {name: message[name] for name in order}
+            watch.service.snapshot = {name: message[name] for name in order}
 
             while not watch.client.snapshot_received.is_set():
                 await asyncio.sleep(0)
@@ -307,13 +313,13 @@
             assert [last for _, _, last in parts] == [False] * (len(parts) - 1) + [True]
             assert max(Counter(turns_at).values()) <= 2, "the event loop runs between parts"
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_many_deltas_that_arrive_together_leave_turns_between() -> None:
     async def scenario() -> None:
-        async with Watch() as watch:
-            await watch.watched(1)
+        async with WatchHarness() as watch:
+            await watch.wait_for_watches(1)
             turns = 0
             endpoints_by_turn: Counter[int] = Counter()
 
@@ -325,21 +331,21 @@
             watch.listener = count_endpoints
 
             for number in range(LIST_LENGTH):
-                watch.service.change(42 + number, host(f"h{number}", 1))
+                watch.service.send_update(42 + number, endpoint_entry(f"h{number}", 1))
             while endpoints_by_turn.total() < LIST_LENGTH:
                 await asyncio.sleep(0)
                 turns += 1
 
             assert max(endpoints_by_turn.values()) <= ENDPOINTS_PER_TURN
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_long_list_that_is_cut_short_puts_nothing_new_in_force() -> None:
     """Its first parts are with the policy by then; a complete snapshot follows."""
 
     async def scenario() -> None:
-        async with Watch() as watch:
+        async with WatchHarness() as watch:
             gateway = GatewayPolicy(settings(), 1)
             last_flags: list[bool] = []
 
@@ -351,41 +357,46 @@
                 gateway.handle(1.0, EndpointUpdate(kind, entries, is_first, is_last))
 
             watch.listener = apply
-            await watch.watched(1)
+            await watch.wait_for_watches(1)
             broken = long_list(43)
             broken["hosts"][-1] = {"host": "h"}
-            watch.service.whole = {"seq": 44, "whole": True, "hosts": [host("good", 1)]}
+            watch.service.snapshot = {"seq": 44, "whole": True, "hosts": [endpoint_entry("good", 1)]}
 
-            watch.service.say(json.dumps(broken).encode())
-            await watch.watched(2)
+            watch.service.send_line(json.dumps(broken).encode())
+            await watch.wait_for_watches(2)
 
             assert len(last_flags) > 2
             assert last_flags[-1]
             assert not any(last_flags[:-1])
             assert [backend.id for backend in gateway.subset] == [backend_id_of("good")]
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_last_entry_of_a_backend_listed_twice_counts() -> None:
     async def scenario() -> None:
-        first, second = Backend(), Backend()
-        world = World(first)
+        first, second = FakeBackend(), FakeBackend()
+        harness = GatewayHarness(first)
         await second.start()
-        async with running(world):
-            peer = await world.client()
-
-            ready_then_draining = [host("h0", first.port), host("h0", first.port, "draining")]
-            world.discovery.change(42, *ready_then_draining, host("h9", second.port), whole=True)
-            while not second.got:
-                assert await world.ask(peer, id=b"%d" % len(first.got)) == b"value"
-            count_before = len(first.got)
+        async with running_gateway(harness):
+            peer = await harness.client()
+
+            ready_then_draining = [
+                endpoint_entry("h0", first.port),
+                endpoint_entry("h0", first.port, "draining"),
+            ]
+            harness.discovery.send_update(
+                42, *ready_then_draining, endpoint_entry("h9", second.port), is_snapshot=True
+            )
+            while not second.received:
+                assert await harness.request(peer, id=b"%d" % len(first.received)) == b"value"
+            count_before = len(first.received)
             for number in range(5):
-                assert await world.ask(peer, id=b"x%d" % number) == b"value"
+                assert await harness.request(peer, id=b"x%d" % number) == b"value"
 
-            assert len(first.got) == count_before
-            assert len(second.got) == 6
-            assert len(world.discovery.watches) == 1, "the list was accepted"
+            assert len(first.received) == count_before
+            assert len(second.received) == 6
+            assert len(harness.discovery.watches) == 1, "the list was accepted"
         await second.stop()
 
-    in_loop(scenario)
+    run_in_loop(scenario)
--- a/tests/network/discovery/test_notification_bound.py
+++ b/tests/network/discovery/test_notification_bound.py
@@ -15,8 +15,9 @@
 from gateway.network.discovery.endpoint_list import ListedEndpoint
 from gateway.network.discovery.watch import EndpointWatcher
 from gateway.policy.events import EndpointState, UpdateKind
-from tests.support.loopback import LOCAL, Discovery, Watch, host
+from tests.support.fake_services import FakeDiscovery, endpoint_entry
 from tests.support.virtual_time import in_virtual_time
+from tests.support.watch_harness import WatchHarness
 
 GATEWAY_COUNT = 200  # the delays of such a fleet after a rejection are the longest from the first one on
 ANSWER_S = 0.4  # of a discovery that is polled; an agent answers at once
@@ -32,7 +33,7 @@
     SILENT = "silent"
 
 
-class FaultyDiscovery(Discovery):
+class FaultyDiscovery(FakeDiscovery):
     """Serves, rejects or says nothing, as its mode is; sends heartbeats while it serves."""
 
     def __init__(self, answer_s: float) -> None:
@@ -50,10 +51,10 @@
 
     def learn_drain(self) -> float:
         """Have a drain in the list from now on; return the time."""
-        self.whole = {"seq": 42, "whole": True, "hosts": [host("h0", 1, "draining")]}
+        self.snapshot = {"seq": 42, "whole": True, "hosts": [endpoint_entry("h0", 1, "draining")]}
         return asyncio.get_running_loop().time()
 
-    async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         target = (await reader.readuntil(b"\r\n\r\n")).split()[1].decode()
         mode = self._mode_of_call()
         self.called.set()
@@ -73,7 +74,7 @@
 
     async def _answer(self, target: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if "stream=1" not in target:
-            body = json.dumps(self.whole).encode()
+            body = json.dumps(self.snapshot).encode()
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
             return
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -81,9 +82,9 @@
         sent_version = int(target.rpartition("=")[2])
         while writer not in self.silenced_watches:
             line = b"\n"
-            if self.whole["seq"] > sent_version:
-                sent_version = self.whole["seq"]
-                line = json.dumps(self.whole).encode() + b"\n"
+            if self.snapshot["seq"] > sent_version:
+                sent_version = self.snapshot["seq"]
+                line = json.dumps(self.snapshot).encode() + b"\n"
             writer.write(b"%x\r\n%b\r\n" % (len(line), line))
             self.heartbeat_sent.set()
             await asyncio.sleep(HEARTBEAT_S)
@@ -97,7 +98,7 @@
 async def fail_calls(discovery: FaultyDiscovery, mode: Mode, count: int) -> None:
     """Return when so many calls have failed, the last of them just now."""
     discovery.mode = mode
-    discovery.hang_up()
+    discovery.close_connections()
     for _ in range(count):
         await discovery.next_call()
 
@@ -107,7 +108,7 @@
     other.pending_rejections = rejections
     await other.start()
     learned_at = other.learn_drain()
-    watcher.move_to((LOCAL, other.port))
+    watcher.move_to(other.address)
     return learned_at
 
 
@@ -156,7 +157,7 @@
 
     with pytest.MonkeyPatch.context() as monkeypatch:
         monkeypatch.setattr(asyncio, "open_connection", hang)
-        discovery.hang_up()
+        discovery.close_connections()
         for _ in range(4):
             attempted.clear()
             await attempted.wait()
@@ -198,7 +199,7 @@
 
     discovery = FaultyDiscovery(ANSWER_S if is_polled else 0.0)
     backoff = Backoff(GATEWAY_COUNT, 10.0, random.Random(seed))
-    async with Watch(service=discovery, backoff=backoff, is_polled=is_polled) as watch:
+    async with WatchHarness(service=discovery, backoff=backoff, is_polled=is_polled) as watch:
         watch.listener = detect_drain
         await discovery.heartbeat_sent.wait()
         learned_at = await fault(discovery, watch.client)
--- a/tests/network/process/test_configuration.py
+++ b/tests/network/process/test_configuration.py
@@ -7,12 +7,11 @@
 
 import pytest
 
+from gateway.network.address import Address, parse_address
 from gateway.network.process.configuration import (
-    Address,
     ConfigurationError,
     GatewayConfig,
     load_config,
-    parse_address,
     parse_config,
 )
 
--- a/tests/network/process/test_deployment_settings.py
+++ b/tests/network/process/test_deployment_settings.py
@@ -8,7 +8,10 @@
 import hiredis
 import pytest
 
-from tests.support.loopback import SETTINGS, Backend, Reply, World, in_loop, request, running, until
+from tests.support.event_loop import run_in_loop, wait_until
+from tests.support.fake_services import FakeBackend, ScriptedReply
+from tests.support.gateway_harness import SETTINGS, GatewayHarness, running_gateway
+from tests.support.request_commands import request_command
 
 VALUE = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 SHORT_DEADLINE_MS = 400.0
@@ -90,20 +93,20 @@
     """A request of this class and plan, as a client sends it."""
     given_class = settings["classes"][class_index]
     given_plan = settings["packages"][plan_index]
-    return request(
+    return request_command(
         request_id.encode(),
-        given_class["name"].encode(),
-        given_plan["name"].encode(),
-        int(given_class["deadline"]),
+        request_class=given_class["name"].encode(),
+        plan=given_plan["name"].encode(),
+        remaining_ms=int(given_class["deadline"]),
         customer=b"%016x" % plan_index,
-        key=b"k1" if given_class["effect"] == "token" else None,
-        verb=b"API.READ" if given_class["effect"] == "pure" else b"API.WRITE",
+        idempotency_key=b"k1" if given_class["effect"] == "token" else None,
+        command=b"API.READ" if given_class["effect"] == "pure" else b"API.WRITE",
     )
 
 
-async def reply_to(world: World, *command: bytes) -> Any:
+async def reply_to(harness: GatewayHarness, *command: bytes) -> Any:
     """The reply that a new client has to this command."""
-    peer = await world.client()
+    peer = await harness.client()
     peer.send(*command)
     return await peer.receive()
 
@@ -116,15 +119,15 @@
     async def scenario() -> None:
         attempts: list[bytes] = []
 
-        async def break_second_attempt(command: list[bytes]) -> Reply:
+        async def break_second_attempt(command: list[bytes]) -> ScriptedReply:
             attempts.append(command[2])
             return b"" if command[2] == b"breaks" and len(attempts) == 2 else VALUE
 
-        world = World(Backend(break_second_attempt), Backend(break_second_attempt))
-        world.settings = settings
-        async with running(world):
-            complete = await reply_to(world, *command_for(settings, class_index, "complete"))
-            broken = await reply_to(world, *command_for(settings, class_index, "breaks"))
+        harness = GatewayHarness(FakeBackend(break_second_attempt), FakeBackend(break_second_attempt))
+        harness.settings = settings
+        async with running_gateway(harness):
+            complete = await reply_to(harness, *command_for(settings, class_index, "complete"))
+            broken = await reply_to(harness, *command_for(settings, class_index, "breaks"))
 
         assert complete == b"value"
         if is_retried:
@@ -134,7 +137,7 @@
             assert str(broken) == "ERR failed"
             assert attempts == [b"complete", b"breaks"]
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 @pytest.mark.parametrize(("name", "class_index"), [case for case in CASES if case[0] != "long"])
@@ -143,29 +146,29 @@
     settings = DEPLOYMENTS[name]
     given_class = settings["classes"][class_index]
 
-    async def silent(_command: list[bytes]) -> Reply:
+    async def silent(_command: list[bytes]) -> ScriptedReply:
         return None
 
     async def scenario() -> None:
-        backend = Backend(silent)
-        world = World(backend)
-        world.settings = settings
-        async with running(world):
+        backend = FakeBackend(silent)
+        harness = GatewayHarness(backend)
+        harness.settings = settings
+        async with running_gateway(harness):
             loop = asyncio.get_running_loop()
-            peer = await world.client()
+            peer = await harness.client()
             sent_at = loop.time()
 
             peer.send(*command_for(settings, class_index, "hangs"))
-            await until(lambda: backend.got)
+            await wait_until(lambda: backend.received)
             reply = await peer.receive()
 
             assert isinstance(reply, hiredis.ReplyError)
             assert loop.time() - sent_at < given_class["deadline"] / 1000
-            assert len(backend.got) == 1
+            assert len(backend.received) == 1
             if given_class["effect"] == "side_effect":
                 assert str(reply) == "ERR failed"
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 @pytest.mark.parametrize("name", DEPLOYMENTS)
@@ -174,14 +177,14 @@
     capabilities = settings["caps"]
 
     async def scenario() -> None:
-        world = World(Backend())
-        world.settings = settings
-        async with running(world):
+        harness = GatewayHarness(FakeBackend())
+        harness.settings = settings
+        async with running_gateway(harness):
             replies = [
-                await reply_to(world, *command_for(settings, 0, f"q{number}", plan_index=0))
+                await reply_to(harness, *command_for(settings, 0, f"q{number}", plan_index=0))
                 for number in range(4 * QUOTA_UNITS)
             ]
-            without_quota = await reply_to(world, *command_for(settings, 0, "free"))
+            without_quota = await reply_to(harness, *command_for(settings, 0, "free"))
 
         rejections = [str(reply) for reply in replies if reply != b"value"]
         assert replies[:QUOTA_UNITS] == [b"value"] * QUOTA_UNITS
@@ -193,4 +196,4 @@
             assert all(0 < wait_ms <= capabilities["maxRetryAfter"] for wait_ms in retry_after_ms)
         assert without_quota == b"value"
 
-    in_loop(scenario)
+    run_in_loop(scenario)
--- a/tests/network/process/test_descriptor_budget.py
+++ b/tests/network/process/test_descriptor_budget.py
@@ -13,20 +13,12 @@
 import pytest
 
 from gateway.network.process.descriptor_budget import RESERVED_DESCRIPTORS, budget_descriptors
+from tests.support.event_loop import run_in_loop, wait_until
+from tests.support.fake_services import FakeBackend, FakeDiscovery, ScriptedReply, endpoint_entry
+from tests.support.gateway_harness import SETTINGS, GatewayHarness
 from tests.support.gateway_process import connect, launched, port_of, reserve_port
-from tests.support.loopback import (
-    LOCAL,
-    SETTINGS,
-    Backend,
-    Discovery,
-    Peer,
-    Reply,
-    World,
-    host,
-    in_loop,
-    request,
-    until,
-)
+from tests.support.request_commands import request_command
+from tests.support.resp_peer import LOCAL, RespPeer
 
 VALUE = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 LONG_CLASS = {**SETTINGS["classes"][0], "aim": 50_000.0, "deadline": 60_000.0}
@@ -53,7 +45,7 @@
     assert budget_descriptors(1024) == (512, 256)
 
 
-class UnavailableDiscovery(Discovery):
+class UnavailableDiscovery(FakeDiscovery):
     """Discovery that is down at first: nobody listens, or calls are accepted and not answered."""
 
     def __init__(self, *, is_silent: bool) -> None:
@@ -68,9 +60,9 @@
         else:
             self.port = port_of(self.reservation)
 
-    async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await self.recovered.wait()
-        await super().talk(reader, writer)
+        await super().handle_connection(reader, writer)
 
     async def stop(self) -> None:
         if self.is_silent or self.recovered.is_set():
@@ -117,11 +109,11 @@
 
 
 @contextlib.asynccontextmanager
-async def launched_with_descriptors(world: World, folder: Path, limit: int) -> AsyncIterator[int]:
+async def launched_with_descriptors(harness: GatewayHarness, folder: Path, limit: int) -> AsyncIterator[int]:
     """The program with `limit` descriptors by its configuration and its system; gives its port."""
     command = ("/bin/sh", "-c", f'ulimit -n {limit} && exec "{sys.executable}" -m gateway')
     with (folder / "log").open("wb") as log:
-        async with launched(world, folder, command=command, stderr=log) as gateway:
+        async with launched(harness, folder, command=command, stderr=log) as gateway:
             yield gateway.port
 
 
@@ -141,17 +133,17 @@
 
 def counted_request(id: bytes, customer: int) -> tuple[bytes, ...]:
     """A request whose plan has a quota, so that the counter hears of it."""
-    return request(id, plan=b"basic", customer=b"%016x" % customer, wait=60_000)
+    return request_command(id, plan=b"basic", customer=b"%016x" % customer, remaining_ms=60_000)
 
 
-async def hang(peers: list[Peer], backend: Backend) -> None:
+async def hang(peers: list[RespPeer], backend: FakeBackend) -> None:
     """Open a request on each connection, each of which takes one connection to the backend."""
     for number, peer in enumerate(peers):
         peer.send(*counted_request(b"hangs%d" % number, number))
-        await until(lambda number=number: len(backend.got) > number)  # type: ignore[misc]
+        await wait_until(lambda number=number: len(backend.received) > number)  # type: ignore[misc]
 
 
-async def hang_or_reply(command: list[bytes]) -> Reply:
+async def hang_or_reply(command: list[bytes]) -> ScriptedReply:
     return None if command[2].startswith(b"hangs") else VALUE
 
 
@@ -168,34 +160,36 @@
 
     async def scenario() -> None:
         budget = budget_descriptors(limit)
-        old = Backend(hang_or_reply)
-        new = Backend()
-        world = World(old, new, sockets=limit)
-        world.settings = {**SETTINGS, "classes": [LONG_CLASS]}
-        discovery = world.discovery = UnavailableDiscovery(is_silent=is_silent)
-        world.hosts = lambda: [host("h0", old.port)]  # type: ignore[method-assign]
-        async with launched_with_descriptors(world, tmp_path, limit) as port:
+        old = FakeBackend(hang_or_reply)
+        new = FakeBackend()
+        harness = GatewayHarness(old, new, sockets=limit)
+        harness.settings = {**SETTINGS, "classes": [LONG_CLASS]}
+        discovery = harness.discovery = UnavailableDiscovery(is_silent=is_silent)
+        harness.hosts = lambda: [endpoint_entry("h0", old.port)]  # type: ignore[method-assign]
+        async with launched_with_descriptors(harness, tmp_path, limit) as port:
             hung = [await connect(port) for _ in range(budget.backend_connections - 1)]
             await hang(hung, old)
-            counter_connections = world.counter.accepted
+            counter_connections = harness.counter.accepted
             async with idle_clients(port, 2 * budget.client_connections) as idle:
                 # More have been shut out than there are: no descriptor is left for clients.
-                await until(lambda: idle.closed_connections > 2 * budget.client_connections)
+                await wait_until(lambda: idle.closed_connections > 2 * budget.client_connections)
                 await ask_until_served(port, counted_request(b"cached", 1_000))
 
-                world.counter.hang_up()
-                discovery.whole = endpoint_list(42, host("h1", new.port))
+                harness.counter.close_connections()
+                discovery.snapshot = endpoint_list(42, endpoint_entry("h1", new.port))
                 await discovery.recover()
-                await until(lambda: discovery.watches)
+                await wait_until(lambda: discovery.watches)
                 requests = [counted_request(b"listed%d" % number, 2_000 + number) for number in range(8)]
                 await ask_until_served(port, *requests)
 
-                assert len(new.got) == 8
+                assert len(new.received) == 8
                 customers_counted = budget.backend_connections + 8
-                await until(lambda: len({words[1] for words in world.counter.got}) >= customers_counted)
-                assert world.counter.accepted > counter_connections
+                await wait_until(
+                    lambda: len({words[1] for words in harness.counter.received}) >= customers_counted
+                )
+                assert harness.counter.accepted > counter_connections
                 assert "Too many open files" not in (tmp_path / "log").read_text()
             for peer in hung:
                 peer.close()
 
-    in_loop(scenario, 50)
+    run_in_loop(scenario, 50)
--- a/tests/network/process/test_gateway_process.py
+++ b/tests/network/process/test_gateway_process.py
@@ -11,9 +11,13 @@
 
 import pytest
 
+from tests.support.event_loop import run_in_loop, wait_until
+from tests.support.fake_services import FakeBackend, ScriptedReply
+from tests.support.gateway_harness import GatewayHarness
 from tests.support.gateway_process import COMMAND, ROOT, connect, environment, launched
 from tests.support.invalid_configurations import INVALID_CONFIGURATIONS
-from tests.support.loopback import LOCAL, Backend, Reply, World, in_loop, request, until
+from tests.support.request_commands import request_command
+from tests.support.resp_peer import LOCAL
 
 
 class HeldScript:
@@ -22,7 +26,7 @@
     def __init__(self) -> None:
         self.released = asyncio.Event()
 
-    async def __call__(self, _command: list[bytes]) -> Reply:
+    async def __call__(self, _command: list[bytes]) -> ScriptedReply:
         await self.released.wait()
         return b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 
@@ -34,14 +38,16 @@
 def test_sigterm_completes_open_requests_and_exits_with_0(tmp_path: Path) -> None:
     async def scenario() -> None:
         script = HeldScript()
-        backend = Backend(script)
-        async with launched(World(backend), tmp_path) as gateway:
+        backend = FakeBackend(script)
+        async with launched(GatewayHarness(backend), tmp_path) as gateway:
             peer = await connect(gateway.port)
             idle = await connect(gateway.port)
             peer.send(b"PING")
             assert await peer.receive() == b"PONG"
-            peer.send(*request(name=b"wipe"))  # not idempotent, so waited for to its deadline
-            await until(lambda: backend.got)
+            peer.send(
+                *request_command(request_class=b"wipe")
+            )  # not idempotent, so waited for to its deadline
+            await wait_until(lambda: backend.received)
 
             gateway.process.send_signal(signal.SIGTERM)
 
@@ -55,23 +61,25 @@
             assert await peer.receive() is None
             assert await gateway.process.wait() == 0
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_sighup_takes_up_new_addresses_and_leaves_open_requests_alone(tmp_path: Path) -> None:
     async def scenario() -> None:
         script = HeldScript()
-        old_backend = Backend(script)
-        new_backend = Backend()
-        old_world = World(old_backend)
-        new_world = World(new_backend)
-        new_servers = [new_backend, new_world.counter, new_world.discovery]
-        async with launched(old_world, tmp_path, *new_servers) as gateway:
-            new_world.discovery.whole = {"seq": 3, "whole": True, "hosts": new_world.hosts()}
+        old_backend = FakeBackend(script)
+        new_backend = FakeBackend()
+        old_harness = GatewayHarness(old_backend)
+        new_harness = GatewayHarness(new_backend)
+        new_servers = [new_backend, new_harness.counter, new_harness.discovery]
+        async with launched(old_harness, tmp_path, *new_servers) as gateway:
+            new_harness.discovery.snapshot = {"seq": 3, "whole": True, "hosts": new_harness.hosts()}
             first = await connect(gateway.port)
             second = await connect(gateway.port)
-            first.send(*request(name=b"wipe", plan=b"basic"))  # not idempotent, so waited for to its deadline
-            await until(lambda: old_backend.got)
+            first.send(
+                *request_command(request_class=b"wipe", plan=b"basic")
+            )  # not idempotent, so waited for to its deadline
+            await wait_until(lambda: old_backend.received)
 
             gateway.config.write_text("not a configuration")
             gateway.process.send_signal(signal.SIGHUP)
@@ -80,17 +88,17 @@
             assert await second.receive() == b"PONG"
             assert gateway.process.returncode is None
 
-            gateway.config.write_text(json.dumps({**new_world.config(), "listen": f"{LOCAL}:1"}))
+            gateway.config.write_text(json.dumps({**new_harness.config(), "listen": f"{LOCAL}:1"}))
             gateway.process.send_signal(signal.SIGHUP)
 
-            await until(lambda: new_world.discovery.watches)
-            second.send(*request(b"second", name=b"wipe"))
+            await wait_until(lambda: new_harness.discovery.watches)
+            second.send(*request_command(b"second", request_class=b"wipe"))
             assert await second.receive() == b"value"
-            assert len(new_backend.got) == 1
+            assert len(new_backend.received) == 1
             third = await connect(gateway.port)  # it still listens where it did
-            third.send(*request(b"third", plan=b"basic", customer=b"00000000b4d65522"))
+            third.send(*request_command(b"third", plan=b"basic", customer=b"00000000b4d65522"))
             assert await third.receive() == b"value"
-            await until(lambda: new_world.counter.got)
+            await wait_until(lambda: new_harness.counter.received)
             script.released.set()
             assert await first.receive() == b"value"
 
@@ -98,7 +106,7 @@
 
             assert await gateway.process.wait() == 0
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 @pytest.mark.parametrize("text", INVALID_CONFIGURATIONS.values(), ids=INVALID_CONFIGURATIONS.keys())
--- a/tests/network/process/test_process_endings.py
+++ b/tests/network/process/test_process_endings.py
@@ -7,7 +7,11 @@
 from gateway.network.clients import listener as client_listener
 from gateway.network.process.shutdown_schedule import ShutdownSchedule
 from tests.support.clients import as_peer, connect, connect_at_once, running_listener
-from tests.support.loopback import Backend, Reply, World, encode, in_loop, request, running, until
+from tests.support.event_loop import run_in_loop, wait_until
+from tests.support.fake_services import FakeBackend, ScriptedReply
+from tests.support.gateway_harness import GatewayHarness, running_gateway
+from tests.support.request_commands import request_command
+from tests.support.resp_peer import encode_command
 
 
 def test_requests_on_connections_in_the_accept_queue_are_answered() -> None:
@@ -16,13 +20,13 @@
     async def scenario() -> None:
         async with running_listener() as (listener, handler, port):
             ids = [b"%03d" % number for number in range(2 * client_listener.ACCEPTS_PER_TURN)]
-            clients = [connect_at_once(port, encode(*request(id))) for id in ids]
+            clients = [connect_at_once(port, encode_command(*request_command(id))) for id in ids]
             assert not listener.connections
 
             listener.begin_shutdown()
-            await until(lambda: len(handler.pending) == len(ids))
-            for id, reply in handler.pending.items():
-                reply.complete(encode(id.encode()))
+            await wait_until(lambda: len(handler.pending) == len(ids))
+            for request_id, reply in handler.pending.items():
+                reply.complete(encode_command(request_id.encode()))
 
             for id, client in zip(ids, clients, strict=True):
                 peer = await as_peer(client)
@@ -30,7 +34,7 @@
                 assert await peer.receive() is None  # and then it is closed
             await listener.all_closed.wait()
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_connection_accepted_last_may_still_send_its_request() -> None:
@@ -41,87 +45,89 @@
 
             listener.begin_shutdown()
             assert len(listener.connections) == 2
-            late.sendall(encode(*request(b"late")))
-            await until(lambda: "late" in handler.pending)
-            handler.pending["late"].complete(encode(b"yes"))
+            late.sendall(encode_command(*request_command(b"late")))
+            await wait_until(lambda: "late" in handler.pending)
+            handler.pending["late"].complete(encode_command(b"yes"))
 
             assert await (await as_peer(late)).receive() == [b"yes"]
             assert await (await as_peer(silent)).receive() is None
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
-@pytest.mark.parametrize("ahead", [b"", encode(*request(b"first"))])
+@pytest.mark.parametrize("ahead", [b"", encode_command(*request_command(b"first"))])
 def test_command_incomplete_at_sigterm_may_be_completed(ahead: bytes) -> None:
     """Its last byte makes it a request, on a connection that the gateway must not have closed by then."""
 
     async def scenario() -> None:
         async with running_listener() as (listener, handler, port):
-            command = encode(*request(b"second"))
+            command = encode_command(*request_command(b"second"))
             peer = await connect(port)
             peer.writer.write(ahead + command[:-20])
-            await until(
+            await wait_until(
                 lambda: any(connection.command_parser.buffered_bytes for connection in listener.connections)
             )
 
             listener.begin_shutdown()
             if ahead:
-                handler.pending["first"].complete(encode(b"yes"))
+                handler.pending["first"].complete(encode_command(b"yes"))
                 assert await peer.receive() == [b"yes"]
             peer.writer.write(command[-20:])
-            await until(lambda: "second" in handler.pending)
-            handler.pending["second"].complete(encode(b"too"))
+            await wait_until(lambda: "second" in handler.pending)
+            handler.pending["second"].complete(encode_command(b"too"))
 
             assert await peer.receive() == [b"too"]
             assert await peer.receive() is None
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_request_that_crosses_the_previous_reply_is_accepted() -> None:
     async def scenario() -> None:
         async with running_listener() as (listener, handler, port):
-            client = connect_at_once(port, encode(*request(b"first")))
-            await until(lambda: handler.pending)
+            client = connect_at_once(port, encode_command(*request_command(b"first")))
+            await wait_until(lambda: handler.pending)
             listener.begin_shutdown()
 
-            client.sendall(encode(*request(b"second")))  # is with the kernel as the first is answered
-            handler.pending["first"].complete(encode(b"yes"))
+            client.sendall(
+                encode_command(*request_command(b"second"))
+            )  # is with the kernel as the first is answered
+            handler.pending["first"].complete(encode_command(b"yes"))
             assert "second" in handler.pending
-            handler.pending["second"].complete(encode(b"too"))
+            handler.pending["second"].complete(encode_command(b"too"))
 
             peer = await as_peer(client)
             assert [await peer.receive() for _ in range(3)] == [[b"yes"], [b"too"], None]
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_request_after_the_final_replies_is_rejected_and_not_forwarded() -> None:
     """It never ran, so that its client may retry elsewhere; a backend's reply could not come in time."""
     schedule = ShutdownSchedule(keep_serving_s=0.01, fail_requests_s=0.05, close_timeout_s=10.0)
 
-    async def stay_silent(_command: list[bytes]) -> Reply:
+    async def stay_silent(_command: list[bytes]) -> ScriptedReply:
         return None
 
     async def scenario() -> None:
-        backend = Backend(stay_silent)
-        async with running(World(backend), schedule) as world:
-            hung = await world.client()
-            late = await world.client()
-            hung.send(*request(b"hung"))
-            data = encode(*request(b"late"))
+        backend = FakeBackend(stay_silent)
+        async with running_gateway(GatewayHarness(backend), schedule) as harness:
+            hung = await harness.client()
+            late = await harness.client()
+            hung.send(*request_command(b"hung"))
+            data = encode_command(*request_command(b"late"))
             late.writer.write(data[:-3])
-            await until(lambda: backend.got)
+            await wait_until(lambda: backend.received)
 
-            world.stop.set()
+            harness.stop.set()
             assert str(await hung.receive()) == "ERR failed"
             late.writer.write(data[-3:])
 
             assert str(await late.receive()) == "BUSY"
             assert await late.receive() is None
-            assert len(backend.got) == 1
+            assert len(backend.received) == 1
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_input_received_by_process_end_is_answered() -> None:
@@ -129,11 +135,11 @@
         async with running_listener() as (listener, handler, port):
             handler.immediate_reply = b"-BUSY\r\n"
             client = connect_at_once(port)
-            await until(lambda: listener.connections)
+            await wait_until(lambda: listener.connections)
 
-            client.sendall(encode(*request(b"first")))
+            client.sendall(encode_command(*request_command(b"first")))
             listener.close()
 
             assert str(await (await as_peer(client)).receive()) == "BUSY"
 
-    in_loop(scenario)
+    run_in_loop(scenario)
--- a/tests/network/process/test_reload.py
+++ b/tests/network/process/test_reload.py
@@ -8,8 +8,9 @@
 
 from gateway.network.process.configuration import load_config
 from gateway.network.process.reload import ReloadSignal, reload_addresses
+from tests.support.event_loop import run_in_loop
 from tests.support.invalid_configurations import INVALID_CONFIGURATIONS
-from tests.support.loopback import Watch, in_loop
+from tests.support.watch_harness import WatchHarness
 
 
 @pytest.mark.parametrize("text", INVALID_CONFIGURATIONS.values(), ids=INVALID_CONFIGURATIONS.keys())
@@ -21,7 +22,7 @@
     caplog.set_level("ERROR")
 
     async def scenario() -> None:
-        async with Watch() as watch:
+        async with WatchHarness() as watch:
             address = watch.client.address
 
             reload_addresses(lambda: load_config(str(config)), watch.client, None)
@@ -29,7 +30,7 @@
             assert watch.client.address == address
             assert watch.client.version == 41
 
-    in_loop(scenario)
+    run_in_loop(scenario)
     assert len(caplog.records) == 1
     assert "the old configuration stays in force" in caplog.text
     assert caplog.text.count("\n") == 1
--- a/tests/network/process/test_starts.py
+++ b/tests/network/process/test_starts.py
@@ -14,8 +14,11 @@
 
 import pytest
 
+from tests.support.event_loop import run_in_loop
+from tests.support.fake_services import FakeDiscovery, endpoint_entry
+from tests.support.gateway_harness import GatewayHarness
 from tests.support.gateway_process import end_process, port_of, reserve_port, start_process
-from tests.support.loopback import LOCAL, Discovery, Peer, World, host, in_loop
+from tests.support.resp_peer import LOCAL, RespPeer
 
 PROCESSES = 20
 READY_SHARE = 0.9
@@ -30,19 +33,19 @@
     """How long a process took to give its first reply, and the client that had it (None: never)."""
 
     after_s: float
-    peer: Peer | None
+    peer: RespPeer | None
 
 
-class SilentDiscovery(Discovery):
+class SilentDiscovery(FakeDiscovery):
     """Accepts calls and never answers."""
 
-    async def talk(self, reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
+    async def handle_connection(self, reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
         await reader.read()
 
 
 @contextlib.asynccontextmanager
-async def serving(service: Discovery) -> AsyncIterator[int]:
-    service.whole["hosts"] = listed_hosts()
+async def serving(service: FakeDiscovery) -> AsyncIterator[int]:
+    service.snapshot["hosts"] = listed_hosts()
     await service.start()
     try:
         yield service.port
@@ -78,7 +81,7 @@
     async with contextlib.AsyncExitStack() as stack:
         match state:
             case "up":
-                yield await stack.enter_async_context(serving(Discovery()))
+                yield await stack.enter_async_context(serving(FakeDiscovery()))
             case "silent":
                 yield await stack.enter_async_context(serving(SilentDiscovery()))
             case "refuses":
@@ -88,7 +91,7 @@
 
 
 def listed_hosts() -> list[dict[str, Any]]:
-    return [host(f"h{number}", 1) for number in range(200)]
+    return [endpoint_entry(f"h{number}", 1) for number in range(200)]
 
 
 async def first_reply(port: int, started_at: float) -> Readiness:
@@ -97,7 +100,7 @@
         async with asyncio.timeout(LAST_READY_TIMEOUT_S):
             while True:
                 with contextlib.suppress(ConnectionError):
-                    peer = Peer(*await asyncio.open_connection(LOCAL, port))
+                    peer = RespPeer(*await asyncio.open_connection(LOCAL, port))
                     peer.send(b"PING")
                     if await peer.receive() == b"PONG":
                         return Readiness(time.monotonic() - started_at, peer)
@@ -130,7 +133,7 @@
     cached = {"seq": 41, "whole": True, "hosts": listed_hosts()}
     for port, path in configs.items():
         addresses = {"listen": f"{LOCAL}:{port}", "discovery": f"{LOCAL}:{discovery}"}
-        path.write_text(json.dumps({**World().config(), **addresses, "known": cached}))
+        path.write_text(json.dumps({**GatewayHarness().config(), **addresses, "known": cached}))
     return configs
 
 
@@ -169,4 +172,4 @@
                 assert nine_in_ten_s < READY_TIMEOUT_S, line
                 assert slowest_s < LAST_READY_TIMEOUT_S, f"{line}\n{last_log_lines(configs)}"
 
-    in_loop(scenario, 140)
+    run_in_loop(scenario, 140)
--- a/tests/network/test_dispatcher.py
+++ b/tests/network/test_dispatcher.py
@@ -9,6 +9,7 @@
 
 import pytest
 
+from gateway.network.address import Address
 from gateway.network.backends.pool import BackendPool
 from gateway.network.clients.connection import ClientConnection
 from gateway.network.clients.listener import ClientLimits, ClientListener
@@ -27,8 +28,10 @@
     TimerFired,
 )
 from gateway.policy.timers import TimerKind, TimerToken
-from tests.support.loopback import LOCAL, in_loop, request, until
-from tests.support.policy_harness import BONUS, SAFE, Module, settings
+from tests.support.event_loop import run_in_loop, wait_until
+from tests.support.policy_harness import BONUS, SAFE, StubPolicy, settings
+from tests.support.request_commands import request_command
+from tests.support.resp_peer import LOCAL
 
 BACKEND = 7
 
@@ -56,7 +59,7 @@
             counter=None,
             max_open_requests=max_open_requests,
         )
-        self.policy = Module()
+        self.policy = StubPolicy()
         self.dispatcher.policy = self.policy  # type: ignore[assignment]
         self.parser = RequestParser(self.dispatcher.settings)
         listener = ClientListener(loop, timers, self.dispatcher, self.parser, ClientLimits(10, 1_000_000))
@@ -64,11 +67,11 @@
         accepted.setblocking(False)
         self.connection = ClientConnection(listener, accepted)
 
-    def ask(self, id: bytes = b"r1", wait: int = 3000) -> PendingReply:
+    def request(self, id: bytes = b"r1", remaining_ms: int = 3000) -> PendingReply:
         pending_reply = PendingReply(self.connection)
         pending_reply.open_request_id = id.decode()
         self.connection.pending_replies.append(pending_reply)
-        args = list(request(id, plan=BONUS.name.encode(), wait=wait))
+        args = list(request_command(id, plan=BONUS.name.encode(), remaining_ms=remaining_ms))
         self.dispatcher.on_request(self.parser.parse(args), pending_reply)
         return pending_reply
 
@@ -82,7 +85,7 @@
     writers: list[asyncio.StreamWriter] = []
     server = await asyncio.start_server(lambda _, writer: writers.append(writer), LOCAL, 0)
     port = server.sockets[0].getsockname()[1]
-    scene.backends.update(BACKEND, (LOCAL, port), EndpointState.READY)
+    scene.backends.update(BACKEND, Address(LOCAL, port), EndpointState.READY)
     yield writers
     server.close()
 
@@ -91,13 +94,13 @@
     async def scenario() -> None:
         scene = Scene()
 
-        scene.policy.answers[RequestArrived] = ValueError("what")
-        assert scene.ask().reply == FAILED_REPLY
+        scene.policy.actions_by_event[RequestArrived] = ValueError("what")
+        assert scene.request().reply == FAILED_REPLY
 
-        scene.policy.answers[RequestArrived] = [Reject("r2", 30.5)]
-        assert scene.ask(b"r2").reply == b"-BUSY 31\r\n"
+        scene.policy.actions_by_event[RequestArrived] = [Reject("r2", 30.5)]
+        assert scene.request(b"r2").reply == b"-BUSY 31\r\n"
 
-    in_loop(scenario)
+    run_in_loop(scenario)
     assert "RequestArrived could not be handled" in caplog.text
 
 
@@ -106,25 +109,25 @@
 
     async def scenario() -> None:
         scene = Scene()
-        pending_reply = scene.ask(wait=20)
+        pending_reply = scene.request(remaining_ms=20)
         assert pending_reply.reply is None
 
-        await until(lambda: pending_reply.is_completed)
+        await wait_until(lambda: pending_reply.is_completed)
 
         assert pending_reply.reply == FAILED_REPLY
         assert not scene.dispatcher.open_requests
-        assert scene.policy.of(ClientDisconnected) == [ClientDisconnected("r1")]
+        assert scene.policy.events_of(ClientDisconnected) == [ClientDisconnected("r1")]
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_attempts_are_limited_and_ignored_after_the_reply() -> None:
     async def scenario() -> None:
         scene = Scene()
         start = StartAttempt("r1", BACKEND)
-        scene.policy.answers[RequestArrived] = [start, start, start, Reject("r1"), start]
+        scene.policy.actions_by_event[RequestArrived] = [start, start, start, Reject("r1"), start]
 
-        scene.ask()
+        scene.request()
 
         endings = [
             (event.attempt_number, event.outcome, event.request_finished) for event in scene.ended_attempts()
@@ -136,7 +139,7 @@
             (0, Outcome.NOT_STARTED, True),
         ]
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_attempt_not_started_for_a_disconnected_client_ends_by_its_own_number(
@@ -147,11 +150,11 @@
 
     async def scenario() -> None:
         scene = Scene()
-        scene.policy.answers[RequestArrived] = [StartAttempt("r1", BACKEND)]
-        scene.ask()
-        scene.policy.answers[RequestArrived] = []
-        scene.ask(b"r2")
-        scene.policy.answers[TimerFired] = [StartAttempt("r2", BACKEND), StartAttempt("r1", BACKEND)]
+        scene.policy.actions_by_event[RequestArrived] = [StartAttempt("r1", BACKEND)]
+        scene.request()
+        scene.policy.actions_by_event[RequestArrived] = []
+        scene.request(b"r2")
+        scene.policy.actions_by_event[TimerFired] = [StartAttempt("r2", BACKEND), StartAttempt("r1", BACKEND)]
 
         scene.client.close()
         scene.dispatcher.deliver(TimerFired(TimerToken(TimerKind.REQUEST, "t")))
@@ -161,22 +164,22 @@
             for event in scene.ended_attempts()
         ]
         assert endings == [("r1", 0, False), ("r2", 0, True), ("r1", 1, True)]
-        assert len(scene.policy.of(ClientDisconnected)) == 2
+        assert len(scene.policy.events_of(ClientDisconnected)) == 2
         assert not scene.dispatcher.open_requests
         assert not scene.dispatcher.disconnected_requests
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_attempt_timeout_leaves_the_request_open() -> None:
     async def scenario() -> None:
         scene = Scene()
         async with silent_backend(scene):
-            scene.policy.answers[RequestArrived] = [StartAttempt("r1", BACKEND, timeout_ms=20.0)]
-            scene.policy.answers[AttemptEnded] = [Reject("r1")]
+            scene.policy.actions_by_event[RequestArrived] = [StartAttempt("r1", BACKEND, timeout_ms=20.0)]
+            scene.policy.actions_by_event[AttemptEnded] = [Reject("r1")]
 
-            pending_reply = scene.ask()
-            await until(lambda: pending_reply.is_completed)
+            pending_reply = scene.request()
+            await wait_until(lambda: pending_reply.is_completed)
 
             (ended,) = scene.ended_attempts()
             assert ended.outcome is Outcome.TIMED_OUT
@@ -184,7 +187,7 @@
             assert ended.latency_ms >= 20
             assert pending_reply.reply == BUSY_REPLY
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_id_is_in_use_while_an_attempt_of_it_is_in_flight() -> None:
@@ -193,31 +196,31 @@
     async def scenario() -> None:
         scene = Scene()
         async with silent_backend(scene) as writers:
-            scene.policy.answers[RequestArrived] = [StartAttempt("r1", BACKEND), Reject("r1")]
-            assert scene.ask().reply == BUSY_REPLY
-            await until(lambda: writers)
-            assert scene.ask().reply == ID_IN_USE_REPLY
+            scene.policy.actions_by_event[RequestArrived] = [StartAttempt("r1", BACKEND), Reject("r1")]
+            assert scene.request().reply == BUSY_REPLY
+            await wait_until(lambda: writers)
+            assert scene.request().reply == ID_IN_USE_REPLY
 
             writers[0].close()
-            await until(lambda: scene.policy.of(AttemptEnded))
+            await wait_until(lambda: scene.policy.events_of(AttemptEnded))
 
             assert not scene.dispatcher.attempts
-            assert scene.ask().reply == BUSY_REPLY
-            assert len(scene.policy.of(RequestArrived)) == 2
+            assert scene.request().reply == BUSY_REPLY
+            assert len(scene.policy.events_of(RequestArrived)) == 2
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_request_beyond_the_limit_of_open_requests_is_rejected() -> None:
     async def scenario() -> None:
         scene = Scene(max_open_requests=1)
 
-        assert scene.ask().reply is None
-        assert scene.ask(b"r2").reply == BUSY_REPLY
+        assert scene.request().reply is None
+        assert scene.request(b"r2").reply == BUSY_REPLY
 
         assert len(scene.policy.events) == 1
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 @pytest.mark.parametrize(
@@ -235,10 +238,10 @@
 def test_counter_calls_fail_as_never_made_without_a_counter() -> None:
     async def scenario() -> None:
         scene = Scene()
-        scene.policy.answers[RequestArrived] = [IncrementCounter("n", 1.0, 100.0)]
+        scene.policy.actions_by_event[RequestArrived] = [IncrementCounter("n", 1.0, 100.0)]
 
-        scene.ask()
+        scene.request()
 
-        assert scene.policy.of(CounterResponse) == [CounterResponse("n", Outcome.CONNECT_ERROR, 0.0)]
+        assert scene.policy.events_of(CounterResponse) == [CounterResponse("n", Outcome.CONNECT_ERROR, 0.0)]
 
-    in_loop(scenario)
+    run_in_loop(scenario)
--- a/tests/network/test_dispatcher_endings.py
+++ b/tests/network/test_dispatcher_endings.py
@@ -30,22 +30,13 @@
 from gateway.policy.timers import TimerKind, TimerToken
 from tests.support.backend_harness import wait_for_reuse_delay
 from tests.support.clients import call_between_reads, connect, connect_at_once, running_dispatcher
-from tests.support.loopback import (
-    LOCAL,
-    SETTINGS,
-    Backend,
-    Counter,
-    Peer,
-    Reply,
-    World,
-    encode,
-    in_loop,
-    request,
-    running,
-    until,
-)
+from tests.support.event_loop import run_in_loop, wait_until
+from tests.support.fake_services import FakeBackend, FakeCounter, ScriptedReply
+from tests.support.gateway_harness import SETTINGS, GatewayHarness, running_gateway
 from tests.support.manual_server import ManualServer, full_accept_queue
-from tests.support.policy_harness import Module
+from tests.support.policy_harness import StubPolicy
+from tests.support.request_commands import request_command
+from tests.support.resp_peer import RespPeer, encode_command
 
 FIRST_BACKEND = 7
 SECOND_BACKEND = 8
@@ -57,29 +48,29 @@
     async def scenario() -> None:
         answered = asyncio.Event()
 
-        async def answer_late(_words: list[bytes]) -> Reply:
+        async def answer_late(_words: list[bytes]) -> ScriptedReply:
             await answered.wait()
             return b"ok 1\r\n"
 
-        world = World(Backend(), counter=Counter(answer_late))
+        harness = GatewayHarness(FakeBackend(), counter=FakeCounter(answer_late))
         info = {**SETTINGS["familyInfo"], "countWait": 5_000.0}
-        world.settings = {**SETTINGS, "groupSize": 9, "familyInfo": info}
-        async with running(world):
-            leaving = await world.client()
-            other = await world.client()
-            leaving.send(*request(b"waits", plan=b"basic", spread=9))
-            await until(lambda: world.counter.got)
+        harness.settings = {**SETTINGS, "groupSize": 9, "familyInfo": info}
+        async with running_gateway(harness):
+            leaving = await harness.client()
+            other = await harness.client()
+            leaving.send(*request_command(b"waits", plan=b"basic", gateway_set_size=9))
+            await wait_until(lambda: harness.counter.received)
 
             leaving.close()
             other_customer = b"00000000b4d65522"  # that does not wait for the same response
-            assert await world.ask(other, id=b"1", customer=other_customer) == b"value"
+            assert await harness.request(other, id=b"1", customer=other_customer) == b"value"
             answered.set()
             for number in (b"2", b"3"):
-                assert await world.ask(other, id=number, customer=other_customer) == b"value"
+                assert await harness.request(other, id=number, customer=other_customer) == b"value"
 
-            assert [command[2] for command in world.backends[0].got] == [b"1", b"2", b"3"]
+            assert [command[2] for command in harness.backends[0].received] == [b"1", b"2", b"3"]
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_request_abandoned_during_a_connect_is_not_forwarded() -> None:
@@ -88,12 +79,12 @@
             listener.setblocking(False)
             async with running_dispatcher() as (dispatcher, policy, clients, port):
                 dispatcher.backends.update(FIRST_BACKEND, listener.getsockname(), EndpointState.READY)
-                policy.answers[RequestArrived] = [StartAttempt("waits", FIRST_BACKEND)]
-                leaving = connect_at_once(port, encode(*request(b"waits")))
-                await until(lambda: dispatcher.attempts)
+                policy.actions_by_event[RequestArrived] = [StartAttempt("waits", FIRST_BACKEND)]
+                leaving = connect_at_once(port, encode_command(*request_command(b"waits")))
+                await wait_until(lambda: dispatcher.attempts)
 
                 leaving.close()
-                await until(lambda: not clients.connections)
+                await wait_until(lambda: not clients.connections)
 
                 assert not dispatcher.backends.connections
                 assert not dispatcher.attempts
@@ -101,36 +92,36 @@
                 kinds = [type(event) for event in policy.events]
                 assert kinds == [RequestArrived, ClientDisconnected, AttemptEnded]
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_request_of_a_disconnected_client_is_not_retried() -> None:
     async def scenario() -> None:
         break_off = asyncio.Event()
 
-        async def script(command: list[bytes]) -> Reply:
+        async def script(command: list[bytes]) -> ScriptedReply:
             if command[2] == b"waits":
                 await break_off.wait()
                 return b""
             return b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 
-        first = Backend(script)
-        second = Backend(script)
-        async with running(World(first, second)) as world:
-            leaving = await world.client()
-            other = await world.client()
-            leaving.send(*request(b"waits"))
-            await until(lambda: first.got or second.got)
+        first = FakeBackend(script)
+        second = FakeBackend(script)
+        async with running_gateway(GatewayHarness(first, second)) as harness:
+            leaving = await harness.client()
+            other = await harness.client()
+            leaving.send(*request_command(b"waits"))
+            await wait_until(lambda: first.received or second.received)
 
             leaving.close()
-            assert await world.ask(other, id=b"1") == b"value"
+            assert await harness.request(other, id=b"1") == b"value"
             break_off.set()
             for number in (b"2", b"3"):
-                assert await world.ask(other, id=number) == b"value"
+                assert await harness.request(other, id=number) == b"value"
 
-            assert [command[2] for command in first.got + second.got].count(b"waits") == 1
+            assert [command[2] for command in first.received + second.received].count(b"waits") == 1
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 class Trigger(Enum):
@@ -142,7 +133,7 @@
     REQUEST = "the request"
 
 
-class HoldingPolicy(Module):
+class HoldingPolicy(StubPolicy):
     """Holds all requests back until the trigger, then sends each to the second backend."""
 
     def __init__(self, trigger: Trigger) -> None:
@@ -196,14 +187,16 @@
         if self.trigger is Trigger.REQUEST:
             return
         for id in self.ids:
-            self.clients.append(connect_at_once(port, encode(*request(id, wait=REQUEST_WAIT_MS))))
-            await until(lambda: len(dispatcher.open_requests) == len(self.clients))
+            self.clients.append(
+                connect_at_once(port, encode_command(*request_command(id, remaining_ms=REQUEST_WAIT_MS)))
+            )
+            await wait_until(lambda: len(dispatcher.open_requests) == len(self.clients))
             if self.trigger is not Trigger.COUNTER_RESPONSE:
                 self.held.append(await self.backend.accept_after(1))
         if self.trigger is Trigger.COUNTER_RESPONSE:
             self.held.append(await self.counter_server.accept())
             self.held[0].setblocking(True)
-            await until(self.all_counter_calls_are_written)
+            await wait_until(self.all_counter_calls_are_written)
 
     def all_counter_calls_are_written(self) -> bool:
         if len(self.counter.unreported_calls["all"]) != len(self.ids):
@@ -217,7 +210,9 @@
         """Cause the trigger and the disconnects, while the event loop is stalled."""
         match self.trigger:
             case Trigger.REQUEST:
-                self.clients.extend(connect_at_once(port, encode(*request(id))) for id in self.ids)
+                self.clients.extend(
+                    connect_at_once(port, encode_command(*request_command(id))) for id in self.ids
+                )
             case Trigger.ATTEMPT_ENDED:
                 for connection in self.held:
                     connection.sendall(b"-ERR failed\r\n")
@@ -239,8 +234,8 @@
         self.counter_server.close()
 
 
-async def ask(peer: Peer, id: bytes) -> object:
-    peer.send(*request(id))
+async def exchange(peer: RespPeer, id: bytes) -> object:
+    peer.send(*request_command(id))
     return await peer.receive()
 
 
@@ -257,30 +252,30 @@
 
     async def scenario() -> None:
         crossing = Crossing(trigger, count)
-        second = Backend()
+        second = FakeBackend()
         await second.start()
         policy = HoldingPolicy(trigger)
         async with running_dispatcher(policy, crossing.counter, 2 * count + 10) as (dispatcher, _, _, port):
             dispatcher.backends.update(FIRST_BACKEND, crossing.backend.address, EndpointState.READY)
-            dispatcher.backends.update(SECOND_BACKEND, (LOCAL, second.port), EndpointState.READY)
+            dispatcher.backends.update(SECOND_BACKEND, second.address, EndpointState.READY)
             other = await connect(port)
             # This leaves a connection on which an attempt is written at once.
-            assert await ask(other, b"before") == b"value"
+            assert await exchange(other, b"before") == b"value"
             await wait_for_reuse_delay(dispatcher.backends)
             await crossing.send_requests(dispatcher, port)
 
             await call_between_reads(functools.partial(crossing.cross, dispatcher, port))
-            await until(lambda: len(policy.of(ClientDisconnected)) == count)
+            await wait_until(lambda: len(policy.events_of(ClientDisconnected)) == count)
 
-            assert await ask(other, b"after") == b"value"
-            assert [command[2] for command in second.got] == [b"before", b"after"]
+            assert await exchange(other, b"after") == b"value"
+            assert [command[2] for command in second.received] == [b"before", b"after"]
             assert not dispatcher.open_requests
             assert not dispatcher.attempts
             assert not dispatcher.disconnected_requests
         crossing.close()
         await second.stop()
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def accept_from(listener: socket.socket, client: socket.socket) -> socket.socket:
@@ -300,9 +295,9 @@
         with full_accept_queue() as (listener, fillers):
             async with running_dispatcher() as (dispatcher, policy, clients, port):
                 dispatcher.backends.update(FIRST_BACKEND, listener.getsockname(), EndpointState.READY)
-                policy.answers[RequestArrived] = [StartAttempt("waits", FIRST_BACKEND)]
-                leaving = connect_at_once(port, encode(*request(b"waits")))
-                await until(lambda: dispatcher.attempts)
+                policy.actions_by_event[RequestArrived] = [StartAttempt("waits", FIRST_BACKEND)]
+                leaving = connect_at_once(port, encode_command(*request_command(b"waits")))
+                await wait_until(lambda: dispatcher.attempts)
                 (connection,) = dispatcher.backends.connections
                 assert not connection.is_connected
 
@@ -312,11 +307,11 @@
                 with accept_from(listener, connection.socket) as accepted:
                     leaving.close()
                     time.sleep(STALL_S)
-                    await until(lambda: not clients.connections)
+                    await wait_until(lambda: not clients.connections)
 
                     assert not dispatcher.backends.connections
                     assert not dispatcher.attempts
                     accepted.settimeout(10.0)
                     assert accepted.recv(1) == b""
 
-    in_loop(scenario)
+    run_in_loop(scenario)
--- a/tests/network/test_timers.py
+++ b/tests/network/test_timers.py
@@ -6,7 +6,7 @@
 from functools import partial
 
 from gateway.network.timers import TimerQueue, now_ms
-from tests.support.loopback import in_loop, until
+from tests.support.event_loop import run_in_loop, wait_until
 
 
 def test_timers_never_fire_early_and_keep_their_order() -> None:
@@ -25,12 +25,12 @@
         start_ms = now_ms()
         for place, delay_ms in enumerate(delays_ms):
             timers.call_at(start_ms + delay_ms, partial(fire, place, start_ms + delay_ms))
-        await until(lambda: len(fired) == len(delays_ms))
+        await wait_until(lambda: len(fired) == len(delays_ms))
 
         assert fired == [3, 1, 5, 2, 0, 4]
         assert max(early_by_ms) <= 0
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_cancelled_timer_is_silent_and_wakes_nobody() -> None:
@@ -41,12 +41,12 @@
 
         timers.call_at(start_ms + 5, lambda: fired.append("cancelled")).cancel()
         timers.call_at(start_ms + 10, lambda: fired.append("kept"))
-        await until(lambda: fired)
+        await wait_until(lambda: fired)
 
         assert fired == ["kept"]
         assert not timers._heap
 
-    in_loop(scenario)
+    run_in_loop(scenario)
 
 
 def test_timer_made_by_a_callback_waits_for_the_event_loop_s_next_turn() -> None:
@@ -63,8 +63,8 @@
             timers.call_at(now_ms(), lambda: order.append("second"))
 
         timers.call_at(now_ms(), first)
-        await until(lambda: len(order) == 3)
+        await wait_until(lambda: len(order) == 3)
 
         assert order == ["first", "event loop", "second"]
 
-    in_loop(scenario)
+    run_in_loop(scenario)
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from gateway.policy.actions import Reject
+from gateway.policy.actions import Reject, StartAttempt
 from gateway.policy.events import (
     Outcome,
 )
@@ -25,7 +25,7 @@
     """Danger: told by latency, overload is seen a whole queue too late, and so is its end."""
     w = world()
     serve_steadily(w)
-    out = []
+    out: list[StartAttempt] = []
     while len(out) < 500 and (s := attempts_in(w.ask("view"))):
         out += s
     assert len(out) < 100
--- a/tests/policy/test_safety_rules.py
+++ b/tests/policy/test_safety_rules.py
@@ -74,7 +74,7 @@
                 assert action.request_id not in self.final
                 name, expires = self.asked[action.request_id]
                 assert now <= expires + 8
-                ran = [b for b, _, o in self.sent.get(action.request_id, []) if o not in NEVER_RAN]
+                ran = [(b, t) for b, t, o in self.sent.get(action.request_id, []) if o not in NEVER_RAN]
                 assert isinstance(action, Fail) or name == "view" or not ran
                 self.final.add(action.request_id)
             elif isinstance(action, CancelAttempt):
--- a/tests/support/backend_harness.py
+++ b/tests/support/backend_harness.py
@@ -12,7 +12,10 @@
 from gateway.network.backends.pool import REUSE_DELAY_MS, BackendPool
 from gateway.network.timers import TimerQueue, now_ms
 from gateway.policy.events import EndpointState, Outcome
-from tests.support.loopback import LOCAL, Backend, Reply, Server, encode, in_loop, request, until
+from tests.support.event_loop import run_in_loop, wait_until
+from tests.support.fake_services import FakeBackend, FakeServer, ScriptedReply
+from tests.support.request_commands import request_command
+from tests.support.resp_peer import encode_command
 
 VALUE_REPLY = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 
@@ -26,13 +29,13 @@
 
 
 @asynccontextmanager
-async def open_pool(*servers: Server, **settings: Any) -> AsyncIterator[BackendPool]:
+async def open_pool(*servers: FakeServer, **settings: Any) -> AsyncIterator[BackendPool]:
     """Start the servers and a pool that lists them as ready, numbered from 0."""
     loop = asyncio.get_running_loop()
     pool = BackendPool(loop, TimerQueue(loop), **{**POOL_SETTINGS, **settings})
     for number, server in enumerate(servers):
         await server.start()
-        pool.update(number, (LOCAL, server.port), EndpointState.READY)
+        pool.update(number, server.address, EndpointState.READY)
     try:
         yield pool
     finally:
@@ -44,7 +47,7 @@
 async def wait_for_reuse_delay(pool: BackendPool) -> None:
     """Wait until the idle connections may be used again."""
     idle = [connection for endpoint in pool.endpoints.values() for connection in endpoint.idle_connections]
-    await until(lambda: all(now_ms() - connection.idle_since > REUSE_DELAY_MS for connection in idle))
+    await wait_until(lambda: all(now_ms() - connection.idle_since > REUSE_DELAY_MS for connection in idle))
 
 
 class RecordedAttempt:
@@ -65,7 +68,7 @@
         pool.start(self.attempt)
 
     def _encode(self, timeout_ms: int) -> bytes:
-        return encode(*request(wait=timeout_ms, body=self.body))
+        return encode_command(*request_command(remaining_ms=timeout_ms, body=self.body))
 
     def _on_end(self, _attempt: BackendAttempt, outcome: Outcome, value: bytes) -> None:
         self.endings.append((outcome, value))
@@ -88,15 +91,15 @@
 
     @functools.wraps(test)
     def run(*args: Any, **kwargs: Any) -> None:
-        in_loop(lambda: test(*args, **kwargs))
+        run_in_loop(lambda: test(*args, **kwargs))
 
     return run
 
 
-def scripted(reply: Reply) -> Backend:
+def scripted(reply: ScriptedReply) -> FakeBackend:
     """Return a backend that gives each request this reply: None stays silent, b"" hangs up."""
 
-    async def script(_command: list[bytes]) -> Reply:
+    async def script(_command: list[bytes]) -> ScriptedReply:
         return reply
 
-    return Backend(script)
+    return FakeBackend(script)
--- a/tests/support/clients.py
+++ b/tests/support/clients.py
@@ -16,8 +16,8 @@
 from gateway.network.dispatcher import Dispatcher
 from gateway.network.timers import TimerQueue
 from gateway.policy.settings import Idempotency, Plan, RequestClass
-from tests.support.loopback import LOCAL, Peer
-from tests.support.policy_harness import Module, settings
+from tests.support.policy_harness import StubPolicy, settings
+from tests.support.resp_peer import LOCAL, RespPeer
 
 VIEW = RequestClass("view", 1500, 4000, idempotency=Idempotency.IDEMPOTENT)
 PARSER = RequestParser(settings(gateway_count=1, request_classes=(VIEW,), plans=(Plan("free"),)))
@@ -57,11 +57,11 @@
 
 @contextlib.asynccontextmanager
 async def running_dispatcher(
-    policy: Module | None = None, counter: CounterClient | None = None, max_connections: int = 10
-) -> AsyncIterator[tuple[Dispatcher, Module, ClientListener, int]]:
+    policy: StubPolicy | None = None, counter: CounterClient | None = None, max_connections: int = 10
+) -> AsyncIterator[tuple[Dispatcher, StubPolicy, ClientListener, int]]:
     """The sockets of clients and backends, joined to a scripted policy."""
     loop = asyncio.get_running_loop()
-    policy = policy or Module()
+    policy = policy or StubPolicy()
     timers = TimerQueue(loop)
     backends = BackendPool(
         loop,
@@ -88,8 +88,8 @@
     backends.close()
 
 
-async def connect(port: int) -> Peer:
-    return Peer(*await asyncio.open_connection(LOCAL, port))
+async def connect(port: int) -> RespPeer:
+    return RespPeer(*await asyncio.open_connection(LOCAL, port))
 
 
 def connect_at_once(port: int, *data: bytes) -> socket.socket:
@@ -100,8 +100,8 @@
     return client
 
 
-async def as_peer(client: socket.socket) -> Peer:
-    return Peer(*await asyncio.open_connection(sock=client))
+async def as_peer(client: socket.socket) -> RespPeer:
+    return RespPeer(*await asyncio.open_connection(sock=client))
 
 
 async def call_between_reads(act: Callable[[], None]) -> None:
--- /dev/null
+++ b/tests/support/fake_services.py
@@ -0,0 +1,175 @@
+"""Fake backends, counter and discovery on loopback sockets."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+from collections.abc import AsyncIterator, Awaitable, Callable
+from contextlib import asynccontextmanager
+from typing import Any
+
+from gateway.network.address import Address
+from tests.support.event_loop import wait_until
+from tests.support.resp_peer import LOCAL, RespPeer
+
+
+class FakeServer:
+    """Listens on a port of its own and hands every connection to `handle_connection`."""
+
+    def __init__(self) -> None:
+        self.open: set[asyncio.StreamWriter] = set()
+        self.tasks: set[asyncio.Task[None]] = set()
+        self.accepted = 0
+        self.port = 0
+
+    @property
+    def address(self) -> Address:
+        """Where it listens, once it has started."""
+        return Address(LOCAL, self.port)
+
+    async def start(self) -> None:
+        self.server = await asyncio.start_server(self._accept, LOCAL, 0)
+        self.port = self.server.sockets[0].getsockname()[1]
+
+    async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        task = asyncio.current_task()
+        assert task is not None
+        self.tasks.add(task)
+        self.open.add(writer)
+        self.accepted += 1
+        try:
+            await self.handle_connection(reader, writer)
+        except (ConnectionError, asyncio.CancelledError):
+            pass
+        finally:
+            self.open.discard(writer)
+            self.tasks.discard(task)
+            writer.close()
+
+    async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        raise NotImplementedError
+
+    def close_connections(self) -> None:
+        for writer in self.open:
+            writer.close()
+
+    async def stop(self) -> None:
+        self.server.close()
+        for task in list(self.tasks):
+            task.cancel()
+        await wait_until(lambda: not self.tasks)
+
+
+ScriptedReply = bytes | None
+"""What a scripted server sends: None stays silent, b"" hangs up."""
+
+
+class FakeBackend(FakeServer):
+    """A fake backend: replies to each command as `script` says, by default with a value."""
+
+    def __init__(self, script: Callable[[list[bytes]], Awaitable[ScriptedReply]] | None = None) -> None:
+        super().__init__()
+        self.script = script or self.serve
+        self.received: list[list[bytes]] = []
+        """The commands received, in order."""
+        self.ended = 0
+        """How many connections the gateway closed."""
+
+    async def serve(self, _command: list[bytes]) -> ScriptedReply:
+        """Reply with a value, without usage figures and load report."""
+        return b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
+
+    async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        peer = RespPeer(reader, writer)
+        while (command := await peer.receive()) is not None:
+            self.received.append(command)
+            reply = await self.script(command)
+            if reply == b"":
+                return
+            if reply:
+                writer.write(reply)
+        self.ended += 1
+
+
+class FakeCounter(FakeServer):
+    """Keeps numbers by name; `script` may answer a call otherwise (None: not at all, b"" hangs up)."""
+
+    def __init__(self, script: Callable[[list[bytes]], Awaitable[ScriptedReply]] | None = None) -> None:
+        super().__init__()
+        self.script = script
+        self.totals: dict[bytes, float] = {}
+        self.received: list[list[bytes]] = []
+
+    async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        while line := await reader.readline():
+            assert line.endswith(b"\r\n")
+            words = line.split()
+            assert words[0] == b"tally"
+            assert len(words) == 4
+            self.received.append(words)
+            self.totals[words[1]] = self.totals.get(words[1], 0.0) + float(words[2])
+            reply: ScriptedReply = b"ok %.3f\r\n" % self.totals[words[1]]
+            if self.script is not None:
+                reply = await self.script(words)
+            if reply == b"":
+                return
+            if reply:
+                writer.write(reply)
+
+
+class FakeDiscovery(FakeServer):
+    """Answers calls for the endpoint list with `snapshot`, and keeps watches open for what a test sends."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.requests: list[str] = []
+        self.watches: list[asyncio.StreamWriter] = []
+        self.snapshot: dict[str, Any] = {"seq": 1, "whole": True, "hosts": []}
+        self.indent: int | None = None
+
+    async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        head = await reader.readuntil(b"\r\n\r\n")
+        target = head.split()[1].decode()
+        self.requests.append(target)
+        if "stream=1" not in target:
+            body = json.dumps(self.snapshot, indent=self.indent).encode()
+            writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\nConnection: close\r\n\r\n" % len(body))
+            writer.write(body)
+            return
+        writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        self.watches.append(writer)
+        await reader.read()
+
+    def send_line(self, line: bytes, watch: int = -1) -> None:
+        """Send a line on one of the watches, the newest unless told otherwise."""
+        self.watches[watch].write(b"%x\r\n%b\n\r\n" % (len(line) + 1, line))
+
+    def send_update(self, seq: int, *hosts: dict[str, Any], is_snapshot: bool = False) -> None:
+        """Send a delta, or a snapshot if `is_snapshot`, on the newest watch."""
+        self.send_line(json.dumps({"seq": seq, "whole": is_snapshot, "hosts": hosts}).encode())
+
+
+def endpoint_entry(name: str, port: int, health: str = "up", born_ms: float = 0) -> dict[str, Any]:
+    """Return an entry of the endpoint list as discovery sends it."""
+    return {
+        "host": name,
+        "dial": f"{LOCAL}:{port}",
+        "site": "a",
+        "class": "m2",
+        "block": 0,
+        "health": health,
+        "share": 1.0,
+        "born_ms": born_ms,
+    }
+
+
+@asynccontextmanager
+async def running_servers(*servers: FakeServer) -> AsyncIterator[None]:
+    """Servers that accept connections until the end of the block."""
+    for server in servers:
+        await server.start()
+    try:
+        yield
+    finally:
+        for server in servers:
+            await server.stop()
--- a/tests/support/gateway_process.py
+++ b/tests/support/gateway_process.py
@@ -13,7 +13,9 @@
 from pathlib import Path
 from typing import IO
 
-from tests.support.loopback import LOCAL, Peer, Server, World, serving
+from tests.support.fake_services import FakeServer, running_servers
+from tests.support.gateway_harness import GatewayHarness
+from tests.support.resp_peer import LOCAL, RespPeer
 
 ROOT = Path(__file__).parents[2]
 COMMAND = (sys.executable, "-m", "gateway")
@@ -37,11 +39,11 @@
     await process.wait()
 
 
-async def connect(port: int) -> Peer:
+async def connect(port: int) -> RespPeer:
     """A client's connection, as soon as there is somebody to accept it."""
     while True:
         try:
-            return Peer(*await asyncio.open_connection(LOCAL, port))
+            return RespPeer(*await asyncio.open_connection(LOCAL, port))
         except ConnectionRefusedError:
             await asyncio.sleep(0.01)
 
@@ -72,18 +74,18 @@
 
 @asynccontextmanager
 async def launched(
-    world: World,
+    harness: GatewayHarness,
     folder: Path,
-    *other_servers: Server,
+    *other_servers: FakeServer,
     command: Sequence[str] = COMMAND,
     stderr: int | IO[bytes] = asyncio.subprocess.PIPE,
 ) -> AsyncIterator[GatewayProcess]:
     """A gateway process in a world whose servers, and the others, run as long as it does."""
     with reserve_port() as reservation:
-        async with serving(*world.servers, *other_servers):
+        async with running_servers(*harness.servers, *other_servers):
             port = port_of(reservation)
             config = folder / "config.json"
-            config.write_text(json.dumps({**world.config(), "listen": f"{LOCAL}:{port}"}))
+            config.write_text(json.dumps({**harness.config(), "listen": f"{LOCAL}:{port}"}))
             process = await start_process(config, command, stderr)
             try:
                 yield GatewayProcess(process, config, port)
--- a/tests/support/manual_server.py
+++ b/tests/support/manual_server.py
@@ -8,7 +8,8 @@
 import struct
 from collections.abc import Iterator
 
-from tests.support.loopback import LOCAL, Discovery, Peer
+from tests.support.fake_services import FakeDiscovery
+from tests.support.resp_peer import LOCAL, RespPeer
 
 
 class ManualServer:
@@ -22,7 +23,7 @@
     async def accept_after(self, commands: int) -> socket.socket:
         """Accept a connection, and return it once so many commands have been received in full."""
         connection = await self.accept()
-        peer = Peer(*await asyncio.open_connection(sock=connection.dup()))
+        peer = RespPeer(*await asyncio.open_connection(sock=connection.dup()))
         for _ in range(commands):
             assert await peer.receive()
         connection.setblocking(True)
@@ -54,7 +55,7 @@
         yield listener, fillers
 
 
-class SilentAgent(Discovery):
+class SilentAgent(FakeDiscovery):
     """A discovery agent that takes calls and says nothing until it is resumed."""
 
     def __init__(self) -> None:
@@ -62,7 +63,7 @@
         self.resumed = asyncio.Event()
         self.calls = 0
 
-    async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.calls += 1
         await self.resumed.wait()
-        await super().talk(reader, writer)
+        await super().handle_connection(reader, writer)
--- a/tests/support/policy_harness.py
+++ b/tests/support/policy_harness.py
@@ -4,6 +4,7 @@
 
 import heapq
 from collections.abc import Iterable
+from typing import Any
 
 from gateway.policy.actions import Action, IncrementCounter, Reject, SetTimer, StartAttempt
 from gateway.policy.events import (
@@ -44,7 +45,7 @@
 RULES = SafetyRules(1000, 0.2, 10_000, 2)
 
 
-def settings(**changes: object) -> Settings:
+def settings(**changes: Any) -> Settings:
     values: dict[str, object] = {
         "gateway_index": 0,
         "gateway_count": 2,
@@ -75,7 +76,7 @@
 class World:
     """Feeds events to one gateway and remembers its actions, each with the time it came."""
 
-    def __init__(self, entries: Iterable[Endpoint] = (), seed: int = 1, **changes: object) -> None:
+    def __init__(self, entries: Iterable[Endpoint] = (), seed: int = 1, **changes: Any) -> None:
         self.gateway = GatewayPolicy(settings(**changes), seed)
         self.now, self.serial = 10_000.0, 0
         self.timers: list[tuple[float, int, TimerToken]] = []
@@ -125,21 +126,21 @@
         return actions
 
 
-class Module:
+class StubPolicy:
     """Stands in for the decision module: keeps the events, and answers each with what a test says."""
 
     def __init__(self) -> None:
         self.events: list[Event] = []
-        self.answers: dict[type, list[Action] | Exception] = {}
+        self.actions_by_event: dict[type, list[Action] | Exception] = {}
 
     def handle(self, now: float, event: Event) -> list[Action]:  # noqa: ARG002 - the signature of the policy
         self.events.append(event)
-        answer = self.answers.get(type(event), [])
+        answer = self.actions_by_event.get(type(event), [])
         if isinstance(answer, Exception):
             raise answer
         return answer
 
-    def of(self, kind: type) -> list[Event]:
+    def events_of(self, kind: type) -> list[Event]:
         return [event for event in self.events if type(event) is kind]
 
 
@@ -156,10 +157,10 @@
 
 
 UNLIMITED = Plan("basic")
-NO_QUOTA = {"plans": (UNLIMITED,), "counter_available": False}
+NO_QUOTA: dict[str, Any] = {"plans": (UNLIMITED,), "counter_available": False}
 
 
-def world(*entries: Endpoint, **changes: object) -> World:
+def world(*entries: Endpoint, **changes: Any) -> World:
     """A world without quotas, so that only the backends decide."""
     return World(entries, **{**NO_QUOTA, **changes})
 
--- /dev/null
+++ b/tests/support/request_commands.py
@@ -0,0 +1,30 @@
+"""The request commands that clients send."""
+
+from __future__ import annotations
+
+
+def request_command(  # noqa: PLR0913 - a test names the attributes that it is about
+    id: bytes = b"9b1f03aa5c7e2d41",
+    *,
+    request_class: bytes = b"view",
+    plan: bytes = b"free",
+    remaining_ms: int = 3000,
+    body: bytes | None = None,
+    customer: bytes = b"00000000b4d65521",
+    gateway_set_size: int = 1,
+    idempotency_key: bytes | None = None,
+    command: bytes | None = None,
+) -> tuple[bytes, ...]:
+    """The arguments of a request command, by default of an idempotent class without a quota."""
+    key_attribute = b"" if idempotency_key is None else b",k=" + idempotency_key
+    attributes = b"c=%b,t=%b,d=%d%b,units=1,spread=%d,first=0" % (
+        request_class,
+        plan,
+        remaining_ms,
+        key_attribute,
+        gateway_set_size,
+    )
+    if command is None:
+        command = b"API.READ" if request_class == b"view" else b"API.WRITE"
+    arguments = (command, customer, id, attributes)
+    return arguments if body is None else (*arguments, body)
