--- a/scale/__main__.py
+++ b/scale/__main__.py
@@ -23,6 +23,9 @@
 EXIT_USAGE = 2
 EXIT_INTERRUPTED = 130
 
+INTERRUPT_SIGNALS = (signal.SIGINT, signal.SIGTERM)
+"""Signals that end a run early, in order and with all its processes."""
+
 PIPE_COLUMNS = 150
 """Width of a table that goes to a file or a pipe."""
 
@@ -110,10 +113,16 @@
 
 
 async def run_interruptibly(scenario: Scenario, progress: Console) -> Result:
-    """Run a scenario so that SIGTERM ends it as Ctrl-C does: in order, with all its processes."""
+    """Run a scenario until it is complete or a signal cancels it; all its processes have exited either way.
+
+    The handlers replace the inherited dispositions: a shell without job control starts background jobs with
+    SIGINT ignored, and asyncio's own handler leaves an ignored SIGINT ignored.
+    """
     task = asyncio.current_task()
     assert task is not None
-    asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
+    loop = asyncio.get_running_loop()
+    for signum in INTERRUPT_SIGNALS:
+        loop.add_signal_handler(signum, task.cancel)
     return await scenario.run(progress)
 
 
--- a/tests/scale/test_scale.py
+++ b/tests/scale/test_scale.py
@@ -12,8 +12,10 @@
 import sys
 import time
 import uuid
-from collections.abc import Iterator
+from collections.abc import Iterator, Mapping
+from functools import partial
 from pathlib import Path
+from types import MappingProxyType
 from typing import Any
 
 import psutil
@@ -46,10 +48,17 @@
 """
 
 
+def set_dispositions(dispositions: Mapping[signal.Signals, signal.Handlers]) -> None:
+    """Set how this process treats signals; what it executes inherits this."""
+    for signum, disposition in dispositions.items():
+        signal.signal(signum, disposition)
+
+
 class ScaleProcess:
     """`python -m scale`, and the processes that bear its mark."""
 
-    def __init__(self, *args: str) -> None:
+    def __init__(self, *args: str, dispositions: Mapping[signal.Signals, signal.Handlers]) -> None:
+        """`dispositions` are those of signals that the run inherits, whatever this process has."""
         self.mark = uuid.uuid4().hex
         self.process = subprocess.Popen(
             [sys.executable, "-m", "scale", *args],
@@ -58,6 +67,7 @@
             stdout=subprocess.PIPE,
             stderr=subprocess.PIPE,
             text=True,
+            preexec_fn=partial(set_dispositions, dispositions),
         )
 
     def living(self) -> list[psutil.Process]:
@@ -86,8 +96,10 @@
 
 
 @contextlib.contextmanager
-def started(*args: str) -> Iterator[ScaleProcess]:
-    run = ScaleProcess(*args)
+def started(
+    *args: str, dispositions: Mapping[signal.Signals, signal.Handlers] = MappingProxyType({})
+) -> Iterator[ScaleProcess]:
+    run = ScaleProcess(*args, dispositions=dispositions)
     try:
         yield run
     finally:
@@ -188,9 +200,10 @@
     assert not out
 
 
-@pytest.mark.parametrize("signum", [signal.SIGINT, signal.SIGTERM])
-def test_an_interrupted_run_leaves_no_process(signum: signal.Signals) -> None:
-    with started("quickstart", "--seconds", "600") as run:
+@pytest.mark.parametrize("inherited", [signal.SIG_DFL, signal.SIG_IGN], ids=["default", "ignored"])
+@pytest.mark.parametrize("signum", [signal.SIGINT, signal.SIGTERM], ids=["SIGINT", "SIGTERM"])
+def test_an_interrupted_run_leaves_no_process(signum: signal.Signals, inherited: signal.Handlers) -> None:
+    with started("quickstart", "--seconds", "600", dispositions={signum: inherited}) as run:
         # The leading process, three of fakes, the clients, the launcher and its three gateways.
         assert len(run.wait_until_up()) >= 9
         run.process.send_signal(signum)
