--- a/scale/checkout.py
+++ b/scale/checkout.py
@@ -12,7 +12,7 @@
 """The package of the measured program."""
 
 REQUIRED_FILES = (f"{PACKAGE}/__init__.py", f"{PACKAGE}/__main__.py")
-"""What a folder must hold to count as a checkout."""
+"""Files that a folder must hold to count as a checkout."""
 
 GIT_TIMEOUT_S = 10.0
 """How long git may take to name a commit."""
@@ -27,12 +27,14 @@
     path = Path(folder).resolve()
     missing = [name for name in REQUIRED_FILES if not (path / name).is_file()]
     if missing:
-        raise UsageError(f"--program {folder}: no checkout of the program, {' and '.join(missing)} missing")
+        raise UsageError(
+            f"--program {folder}: not a checkout of the program, {' and '.join(missing)} missing"
+        )
     return path
 
 
 def describe_commit(folder: str) -> str:
-    """Return the short commit of a checkout, with a + where it has changes; empty where there is none."""
+    """Return the short commit of a checkout, with a + where it has changes; empty where git names none."""
     git = ["git", "-C", folder]
     try:
         head = subprocess.run(
@@ -48,7 +50,7 @@
 
 
 def prefer_checkout(folder: str) -> None:
-    """Let this process import the program from a checkout before any other place."""
+    """Make this process import the program from a checkout before any other place."""
     sys.path.insert(0, folder)
 
 
@@ -63,4 +65,4 @@
         if name.partition(".")[0] != PACKAGE or not origin:
             continue
         if Path(folder) not in Path(origin).resolve().parents:
-            raise RunError(f"{name} came from {origin}, not from {folder}")
+            raise RunError(f"module {name} was imported from {origin}, not from the checkout {folder}")
--- a/scale/control.py
+++ b/scale/control.py
@@ -1,66 +1,89 @@
-"""What one gateway's control work takes, by size of list, customers and changes a second."""
+"""The control scenario: what one gateway's control work costs, by size of list, customers and changes."""
 
 from __future__ import annotations
 
-import asyncio
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
 
 from rich.console import Console
 
 from . import machine
 from .control_bench import ControlBench
-from .control_report import SMALL_LIST, ControlFigures, evaluate_goals
+from .control_figures import SMALL_LIST, ControlFigures, evaluate_goals
+from .customers import CustomerPopulation
 from .environment import Environment
+from .figures import StartWork
 from .result import Result
-from .supervisor import CALL_TIMEOUT_S, Supervisor
+from .run_options import RunOptions
+from .supervisor import Supervisor
 
 PROCESSES = 4
-"""Of a control run: the leading one, discovery, the counter and the measured gateway."""
+"""Processes of a run: the leading one, discovery, the counter and the measured gateway."""
 
 
-@dataclass(frozen=True)
+@dataclass(frozen=True, kw_only=True)
 class SteadyPhase:
-    """A time of even work: changes a second, and the customers of the whole fleet."""
+    """A phase of steady work: changes a second, and the customers of the whole fleet."""
 
-    changes: float
-    customers: int
+    change_rate: float = 0.0
+    customers: int = 0
 
     @property
     def name(self) -> str:
         """What tables and the JSON call it."""
-        return f"{self.changes:g} changes/s, {self.customers:,} customers"
+        return f"{self.change_rate:g} changes/s, {self.customers:,} customers"
 
 
-@dataclass(frozen=True)
-class Control:
-    """What to run. Rates are per second; `patience` is in seconds, for the burst of single messages."""
+@dataclass(frozen=True, kw_only=True)
+class ControlCase:
+    """One checkout at one size of list, and where its figures go."""
 
-    backends: tuple[int, ...]
-    changes: tuple[float, ...]
+    program: str
+    list_size: int
+    figures: ControlFigures
+    result: Result
+
+
+@dataclass(frozen=True, kw_only=True)
+class ControlScenario(RunOptions):
+    """The scenario and its options. Rates are per second; customers are those of the whole fleet."""
+
+    list_sizes: tuple[int, ...]
+    """Backends in the endpoint list."""
+
+    change_rates: tuple[float, ...]
     customers: tuple[int, ...]
-    requests: float
+    request_rate: float
     fleet: int
-    spread: int
-    alone: int
-    burst: int
-    steady: float
-    patience: float
+    """Gateways of the whole fleet."""
+
+    gateways_per_customer: int
+    single_changes: int
+    burst_size: int
+    steady_s: float
+    """Length of each steady phase."""
+
+    messages_timeout_s: float
+    """Time-out of the burst of single messages."""
+
     repeats: int
-    seed: int
-    programs: tuple[str, ...]
-    stall: float = 0.0
 
     def check(self) -> None:
-        """Check that this machine has room for these sizes.
+        """Check that this machine can carry these sizes.
 
         Raises:
-            UsageError: it has not.
+            UsageError: it cannot.
         """
-        backends = max(self.backends)
+        backends = max(self.list_sizes)
         customers = sum(
-            min(number * self.spread / self.fleet, self.requests * self.steady) for number in self.customers
+            machine.served_customers(
+                count,
+                fleet=self.fleet,
+                gateways_per_customer=self.gateways_per_customer,
+                request_rate=self.request_rate,
+                seconds=self.steady_s,
+            )
+            for count in self.customers
         )
         needed_mb = machine.gateway_mb(backends, customers) + machine.read_buffer_mb(backends)
         needed_mb += machine.discovery_mb(backends, 1) + PROCESSES * machine.PROCESS_MB
@@ -68,116 +91,136 @@
 
     def steady_phases(self) -> list[SteadyPhase]:
         """Return changes without customers, then customers without changes."""
-        with_changes = [SteadyPhase(changes, 0) for changes in self.changes]
-        with_customers = [SteadyPhase(0.0, customers) for customers in self.customers if customers]
+        with_changes = [SteadyPhase(change_rate=rate) for rate in self.change_rates]
+        with_customers = [SteadyPhase(customers=count) for count in self.customers if count]
         return with_changes + with_customers
 
     async def run(self, progress: Console) -> Result:
-        """Measure each checkout at each size, as often as asked.
+        """Measure each checkout at each size, in turns, as often as the options say.
 
         Raises:
             RunError: a process failed.
         """
-        result = Result.begin("control", self, self.programs)
-        figures = {program: {size: ControlFigures() for size in self.backends} for program in self.programs}
-        for repeat in range(self.repeats):
-            for size in self.backends:
-                for program in self.programs:
-                    progress.print(f"repeat {repeat + 1} of {self.repeats}: {size:,} backends, {program}")
-                    await self._measure_processor(figures[program][size], size, program, result)
-                    await self._measure_holdups(figures[program][size], size, program, result)
-        for program, by_size in figures.items():
-            if SMALL_LIST in by_size:
-                for column in by_size.values():
-                    column.note_memory_growth(by_size[SMALL_LIST])
-            result.measured[program] = {str(size): column.as_dict() for size, column in by_size.items()}
-            result.goals[program] = evaluate_goals(result.measured[program], self.burst)
+        result = Result.begin("control", self)
+        cases = [
+            ControlCase(program=program, list_size=size, figures=ControlFigures(), result=result)
+            for size in self.list_sizes
+            for program in self.programs
+        ]
+        for repeat in range(1, self.repeats + 1):
+            for case in cases:
+                progress.print(
+                    f"repeat {repeat} of {self.repeats}: {case.list_size:,} backends, {case.program}"
+                )
+                await self._measure_processor(case)
+                await self._measure_stalls(case)
+        for program in self.programs:
+            self._summarize(result, program, [case for case in cases if case.program == program])
         return result
 
+    def _summarize(self, result: Result, program: str, cases: list[ControlCase]) -> None:
+        """Enter the figures and goals of one checkout into the result."""
+        by_size = {case.list_size: case.figures for case in cases}
+        if SMALL_LIST in by_size:
+            for figures in by_size.values():
+                figures.note_memory_growth(by_size[SMALL_LIST])
+        measured = {str(size): figures.as_dict() for size, figures in by_size.items()}
+        result.measured[program] = measured
+        result.goals[program] = evaluate_goals(measured, self.burst_size)
+
     async def _start_bench(
-        self, supervisor: Supervisor, size: int, program: str, result: Result, *, probe_loop: bool
+        self, supervisor: Supervisor, case: ControlCase, *, probe_loop: bool
     ) -> ControlBench:
-        environment = await Environment.start(supervisor, backends=size, seed=self.seed, stall_ms=self.stall)
-        gateway = await supervisor.start("measured", Path(program))
-        bench = ControlBench(environment, gateway, result, f"{size:,} backends", self.alone)
+        environment = await Environment.start(
+            supervisor,
+            backends=case.list_size,
+            seed=self.seed,
+            with_backends=False,
+            stall_ms=self.stall_ms,
+        )
+        gateway = await supervisor.start("measured", Path(case.program))
         await environment.begin()
-        bench.start_figures = await gateway.call(
-            "start",
-            config=environment.config(0, self.fleet),
-            probe_loop=probe_loop,
-            customers={
-                "customers": max(self.customers),
-                "gateways": self.fleet,
-                "spread": self.spread,
-                "seed": self.seed,
-            },
+        customers = CustomerPopulation(
+            count=max(self.customers),
+            gateways=self.fleet,
+            gateways_per_customer=self.gateways_per_customer,
+            seed=self.seed,
+        )
+        start_work: StartWork = await gateway.call(
+            "start", config=environment.config(0, self.fleet), probe_loop=probe_loop, customers=customers
         )
         await environment.wait_for_watches(1)
-        return bench
+        return ControlBench(
+            environment=environment,
+            gateway=gateway,
+            result=case.result,
+            phase=f"{case.list_size:,} backends",
+            single_changes=self.single_changes,
+            start_work=start_work,
+        )
 
-    async def _measure_processor(
-        self, column: ControlFigures, size: int, program: str, result: Result
-    ) -> None:
-        """Measure processor time, memory and bytes, in a pass without the loop's probe."""
+    async def _measure_processor(self, case: ControlCase) -> None:
+        """Measure processor time, memory and bytes, in a pass without the event-loop probe."""
+        figures = case.figures
         async with Supervisor() as supervisor:
-            bench = await self._start_bench(supervisor, size, program, result, probe_loop=False)
-            column.note("start_cpu_ms", bench.start_figures["cpu_ms"])
-            column.note("start_collect_ms", bench.start_figures["collect_ms"])
-            column.note("start_rss_mb", bench.start_figures["rss_mb"])
-            column.note("start_bytes", (await bench.read())["discovery"]["sent"])
-            idle_ms = await bench.idle_ms()
-            column.note("idle_ms", idle_ms)
-            singles = await bench.run_single_changes()
-            for change_ms in singles["each_ms"]:
-                column.note("one_cpu_ms", max(0.0, change_ms - idle_ms))
-            burst = await bench.run_burst([self.burst])
-            column.note("burst_cpu_ms", burst["cpu_ms"])
-            column.note("burst_changes", min(self.burst, size - 1))
+            bench = await self._start_bench(supervisor, case, probe_loop=False)
+            await self._note_start(figures, bench)
+            await self._note_single_changes(figures, bench)
+            burst = await bench.run_burst([self.burst_size])
+            figures.note("burst_cpu_ms", burst["cpu_ms"])
+            figures.note("burst_changes", min(self.burst_size, case.list_size - 1))
             for phase in self.steady_phases():
-                column.note_steady(phase.name, await self._run_steadily(bench, phase))
-            messages = await bench.run_messages(self.burst, self.patience)
-            column.note("messages_cpu_ms", messages["cpu_ms"])
-            column.is_unfinished |= not messages["done"]
-            column.note("end_rss_mb", machine.resident_mb(bench.gateway.pid))
+                figures.note_steady(phase.name, await self._run_steadily(bench, phase))
+            messages = await bench.run_single_messages(self.burst_size, self.messages_timeout_s)
+            figures.note("messages_cpu_ms", messages["cpu_ms"])
+            figures.note_completion(messages)
+            figures.note("end_rss_mb", machine.resident_mb(bench.gateway.pid))
+
+    async def _note_start(self, figures: ControlFigures, bench: ControlBench) -> None:
+        work = bench.start_work
+        counts = await bench.read()
+        figures.note("start_cpu_ms", work["cpu_ms"])
+        figures.note("start_gc_ms", work["gc_ms"])
+        figures.note("start_rss_mb", work["rss_mb"])
+        figures.note("start_bytes", counts["discovery"]["sent"])
+
+    async def _note_single_changes(self, figures: ControlFigures, bench: ControlBench) -> None:
+        idle_cpu_ms = await bench.idle_cpu_ms()
+        figures.note("idle_cpu_ms", idle_cpu_ms)
+        work = await bench.run_single_changes()
+        for cpu_ms in work["update_cpu_ms"]:
+            figures.note("single_change_cpu_ms", max(0.0, cpu_ms - idle_cpu_ms))
 
     async def _run_steadily(self, bench: ControlBench, phase: SteadyPhase) -> dict[str, float]:
-        await bench.environment.begin()
-        request_rate = self.requests if phase.customers else 0.0
-        announced = bench.environment.discovery.call(
-            "announce_evenly", rate=phase.changes, seconds=self.steady
-        )
-        worked = bench.gateway.call(
-            "run_steadily",
-            request_rate=request_rate,
-            seconds=self.steady,
-            timeout_s=self.steady + CALL_TIMEOUT_S,
+        """Run a steady phase and return its figures."""
+        work = await bench.run_steadily(
+            change_rate=phase.change_rate,
+            request_rate=self.request_rate if phase.customers else 0.0,
+            seconds=self.steady_s,
         )
-        taken, _ = await asyncio.gather(worked, announced)
         counts = await bench.read()
-        await bench.run_burst([])  # what it fell behind with is no later phase's
-        return self._steady_figures(taken, counts)
-
-    def _steady_figures(self, taken: dict[str, Any], counts: dict[str, Any]) -> dict[str, float]:
+        await bench.apply_backlog()
         counter = counts["counter"]
         return {
-            "cpu_ms_per_s": taken["cpu_ms"] / self.steady,
-            "rss_mb": taken["rss_mb"],
-            "discovery_bytes_per_s": counts["discovery"]["sent"] / self.steady,
-            "counter_bytes_per_s": (counter["sent"] + counter["received"]) / self.steady,
-            "calls_a_request": counter["calls"] / taken["sent"] if taken["sent"] else 0.0,
+            "cpu_ms_per_s": work["cpu_ms"] / self.steady_s,
+            "rss_mb": work["rss_mb"],
+            "discovery_bytes_per_s": counts["discovery"]["sent"] / self.steady_s,
+            "counter_bytes_per_s": (counter["sent"] + counter["received"]) / self.steady_s,
+            "calls_per_request": counter["calls"] / work["sent"] if work["sent"] else 0.0,
         }
 
-    async def _measure_holdups(self, column: ControlFigures, size: int, program: str, result: Result) -> None:
-        """Measure how long the event loop is held up, in a pass with the loop's probe."""
+    async def _measure_stalls(self, case: ControlCase) -> None:
+        """Measure how long the event loop stalls, in a pass with the event-loop probe."""
+        figures = case.figures
         async with Supervisor() as supervisor:
-            bench = await self._start_bench(supervisor, size, program, result, probe_loop=True)
+            bench = await self._start_bench(supervisor, case, probe_loop=True)
             await bench.read()
-            column.note_holdups("start", bench.start_figures)
-            singles = await bench.run_single_changes()
-            column.note_holdups("one", singles)
-            for gap in singles["each"]:
-                column.note("one_each_hold_ms", gap["cpu"])
-            column.note_holdups("burst", await bench.run_burst([self.burst]))
-            messages = await bench.run_messages(self.burst, self.patience)
-            column.note_holdups("messages", messages)
-            column.is_unfinished |= not messages["done"]
+            figures.note_stalls("start", bench.start_work)
+            single_changes = await bench.run_single_changes()
+            figures.note_stalls("single_change", single_changes)
+            for cpu_ms in single_changes["update_stall_cpu_ms"]:
+                figures.note("single_change_each_stall_cpu_ms", cpu_ms)
+            figures.note_stalls("burst", await bench.run_burst([self.burst_size]))
+            messages = await bench.run_single_messages(self.burst_size, self.messages_timeout_s)
+            figures.note_stalls("messages", messages)
+            figures.note_completion(messages)
--- a/scale/customers.py
+++ b/scale/customers.py
@@ -1,46 +1,57 @@
-"""The customers of a fleet, and what their requests say of themselves."""
+"""The customers of a fleet, and the requests they send."""
 
 from __future__ import annotations
 
 import random
+from dataclasses import dataclass
 from typing import NamedTuple
 
 from .gateway_configuration import DEADLINE_MS, PLAN_NAME, REQUEST_CLASS_NAME
 
 
 class PickedCustomer(NamedTuple):
-    """A customer's number, and the first gateway of those that serve it."""
+    """A customer's number, and the first gateway of its gateway set."""
 
     number: int
     first_gateway: int
 
 
+@dataclass(frozen=True, kw_only=True)
+class CustomerPopulation:
+    """How many customers a fleet has, and how they are spread over its gateways."""
+
+    count: int
+    gateways: int
+    gateways_per_customer: int
+    seed: int
+    first_number: int = 0
+    """Added to the customers' numbers, to keep them apart from another phase's."""
+
+
 class Customers:
-    """The customers of a fleet: each is served by `spread` gateways in a row, which wraps round."""
+    """Picks customers of a population; each is served by a run of consecutive gateways, which wraps round."""
 
-    def __init__(self, customers: int, gateways: int, spread: int, seed: int, first_number: int = 0) -> None:
-        """`first_number` is added to the customers' numbers, to keep them apart from another run's."""
-        self.spread = min(spread, gateways)
-        self._customers = customers
-        self._gateways = gateways
-        self._first_number = first_number
-        self._rng = random.Random(seed)
+    def __init__(self, population: CustomerPopulation) -> None:
+        self._population = population
+        self._set_size = min(population.gateways_per_customer, population.gateways)
+        self._rng = random.Random(population.seed)
 
     def pick(self, gateway: int) -> PickedCustomer:
         """Pick a customer that `gateway` serves."""
-        number = 0
-        first_gateway = (gateway - self._rng.randrange(self.spread)) % self._gateways
-        has_one_more = first_gateway < self._customers % self._gateways
-        candidates = self._customers // self._gateways + has_one_more
+        gateways = self._population.gateways
+        first_gateway = (gateway - self._rng.randrange(self._set_size)) % gateways
+        has_one_more = first_gateway < self._population.count % gateways
+        candidates = self._population.count // gateways + has_one_more
+        number = first_gateway
         if candidates:
-            number = self._gateways * self._rng.randrange(candidates)
-        return PickedCustomer(self._first_number + number + first_gateway, first_gateway)
+            number += gateways * self._rng.randrange(candidates)
+        return PickedCustomer(self._population.first_number + number, first_gateway)
 
     def request(self, gateway: int, request_id: int) -> list[bytes]:
         """Return a command of one of the customers that `gateway` serves."""
         customer, first_gateway = self.pick(gateway)
         attributes = (
             f"c={REQUEST_CLASS_NAME},t={PLAN_NAME},d={DEADLINE_MS},units=1"
-            f",spread={self.spread},first={first_gateway}"
+            f",spread={self._set_size},first={first_gateway}"
         )
         return [b"API.READ", b"%016x" % customer, b"%016x" % request_id, attributes.encode()]
--- a/scale/environment.py
+++ b/scale/environment.py
@@ -2,16 +2,22 @@
 
 from __future__ import annotations
 
+from collections.abc import Sequence
 from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
+from .customers import CustomerPopulation
+from .figures import LaunchedGatewayFigures, LoadSummary
 from .gateway_configuration import gateway_config
 from .result import Result
 from .supervisor import Supervisor, WorkerProcess
 
-BACKEND_PORTS = 16
-"""Ports of the fake backends: each serves many listed ones."""
+MAX_BACKEND_PORTS = 16
+"""Ports of the fake backends; each serves many listed ones."""
+
+BACKEND_LATENCY_MS = 5.0
+"""How long the fake backends take for a request."""
 
 CLOSED_PORT = 1
 """A port that nothing listens on."""
@@ -20,7 +26,7 @@
 """How long all gateways together may take to start."""
 
 
-@dataclass
+@dataclass(kw_only=True)
 class Environment:
     """The fake services of a run, each a process; ports are on the loopback address."""
 
@@ -31,8 +37,11 @@
     discovery_port: int
     counter_port: int
     seed: int
-    stall_ms: float  # for which discovery's process is held up in each measured part
-    launcher: WorkerProcess | None = None  # of the real gateways
+    stall_ms: float
+    """How long the fake discovery is stalled in each measured phase."""
+
+    launcher: WorkerProcess | None = None
+    """Owner of the real gateways, None where there are none."""
 
     @classmethod
     async def start(
@@ -41,26 +50,27 @@
         *,
         backends: int,
         seed: int,
-        latency_ms: float | None = None,
+        with_backends: bool = True,
         stall_ms: float = 0.0,
     ) -> Environment:
-        """Start discovery with so many backends, the counter, and backends that take `latency_ms`.
+        """Start discovery with a list of so many backends, the counter, and the fake backends.
 
-        Without a latency nothing listens where the listed backends are said to be.
+        Without backends nothing listens at the addresses of the list.
         """
         discovery = await supervisor.start("fakes")
         counter = await supervisor.start("fakes")
-        backend_worker = None
+        backend_worker = await supervisor.start("fakes") if with_backends else None
         ports = [CLOSED_PORT]
-        if latency_ms is not None:
-            backend_worker = await supervisor.start("fakes")
-            port_count = min(BACKEND_PORTS, backends)
-            ports = await backend_worker.call("start_backends", ports=port_count, latency_ms=latency_ms)
+        if backend_worker is not None:
+            port_count = min(MAX_BACKEND_PORTS, backends)
+            ports = await backend_worker.call(
+                "start_backends", ports=port_count, latency_ms=BACKEND_LATENCY_MS
+            )
         return cls(
-            supervisor,
-            discovery,
-            counter,
-            backend_worker,
+            supervisor=supervisor,
+            discovery=discovery,
+            counter=counter,
+            backends=backend_worker,
             discovery_port=await discovery.call("start_discovery", backends=backends, ports=ports, seed=seed),
             counter_port=await counter.call("start_counter"),
             seed=seed,
@@ -77,41 +87,59 @@
             seed=self.seed,
         )
 
-    async def launch_gateways(self, checkout: Path, configs: list[dict[str, Any]]) -> list[dict[str, int]]:
-        """Start real gateways of a checkout; return `pid` and `port` of each."""
+    async def launch_gateways(
+        self, program: str, configs: Sequence[dict[str, Any]]
+    ) -> list[LaunchedGatewayFigures]:
+        """Start a real gateway of a checkout for each configuration."""
         self.launcher = await self.supervisor.start("launcher")
-        launched: list[dict[str, int]] = await self.launcher.call(
-            "start", checkout=str(checkout), configs=configs, timeout_s=START_TIMEOUT_S
+        launched: list[LaunchedGatewayFigures] = await self.launcher.call(
+            "start", checkout=str(Path(program)), configs=configs, timeout_s=START_TIMEOUT_S
         )
         return launched
 
+    async def start_clients(
+        self, ports: Sequence[int], customers: CustomerPopulation, *, first_gateway: int = 0
+    ) -> WorkerProcess:
+        """Start the clients of the real gateways, which have consecutive indexes from `first_gateway` on."""
+        clients = await self.supervisor.start("clients")
+        gateways = list(enumerate(ports, start=first_gateway))
+        await clients.call("connect", gateways=gateways, customers=customers)
+        return clients
+
     async def wait_for_watches(self, count: int) -> None:
-        """Wait until so many gateways watch the list."""
+        """Wait until so many gateways watch the endpoint list."""
         await self.discovery.call("wait_for_watches", count=count, timeout_s=START_TIMEOUT_S)
 
     async def begin(self, *others: WorkerProcess) -> None:
-        """Restart all counts: what is measured begins."""
+        """Restart all counts: a measured phase begins."""
         for worker in self._counting_workers(*others):
             await worker.call("begin")
         if self.stall_ms:
             await self.discovery.call("stall", duration_ms=self.stall_ms)
 
-    def _counting_workers(self, *others: WorkerProcess) -> list[WorkerProcess]:
-        workers = (self.discovery, self.counter, self.backends, *others)
-        return [worker for worker in workers if worker is not None]
-
     async def read(self, result: Result, phase: str, *others: WorkerProcess) -> dict[str, Any]:
-        """Return bytes and calls at discovery and the counter since `begin`; lateness goes to the result.
+        """Return bytes and calls at discovery and the counter since `begin`; timer lag goes to the result.
 
         Raises:
             RunError: a real gateway has exited meanwhile.
         """
         counts: dict[str, Any] = {}
         for worker in self._counting_workers(*others):
-            read = await worker.call("read")
-            services = [name for name in read if name != "lag"] or ["clients"]
-            result.note_lag(f"{services[0]}, {phase}", read["lag"])
-            counts.update(read)
+            figures = await worker.call("read")
+            lag = figures.pop("lag")
+            service = next(iter(figures), "clients")
+            result.note_lag(f"{service}, {phase}", lag)
+            counts.update(figures)
         if self.launcher is not None:
             await self.launcher.call("check")
         return counts
+
+    def _counting_workers(self, *others: WorkerProcess) -> list[WorkerProcess]:
+        workers = (self.discovery, self.counter, self.backends, *others)
+        return [worker for worker in workers if worker is not None]
+
+
+async def send_load(clients: WorkerProcess, *, rate: float, seconds: float) -> LoadSummary:
+    """Let the clients send `rate` requests a second over all real gateways; return what became of them."""
+    summary: LoadSummary = await clients.call_lasting(seconds, "run", rate=rate, seconds=seconds)
+    return summary
--- a/scale/errors.py
+++ b/scale/errors.py
@@ -11,12 +11,16 @@
 
 
 class UsageError(ScaleError):
-    """The command line asks for a run that this machine or this tool cannot carry out."""
+    """The command line names a run that this machine or this tool cannot carry out."""
 
 
 class RunError(ScaleError):
-    """A worker process failed, so the run has no result."""
+    """A process of the run failed, so the run has no result."""
 
 
 class CallTimeoutError(RunError):
-    """A worker process did not answer a call in time."""
+    """A worker process did not respond to a call in time."""
+
+
+class ProtocolError(RunError):
+    """A measured gateway sent a fake service what its protocol does not allow."""
--- a/scale/fakes/backends.py
+++ b/scale/fakes/backends.py
@@ -1,4 +1,4 @@
-"""Fake backends: answer each request after a latency with the time that it really took."""
+"""Fake backends: respond to each request after a latency, with the time that it really took."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from .service import FakeService, ServiceConnection
 
 SERVICE_COMMANDS = (b"API.READ", b"API.WRITE")
-"""Commands that take the latency; all others are answered at once."""
+"""Commands that take the latency; the response to any other is immediate."""
 
 
 class BackendServerConnection(ServiceConnection):
@@ -30,7 +30,7 @@
 
 
 class FakeBackends(FakeService):
-    """Many backends in one process; each answers with the microseconds that the request took."""
+    """Many backends in one process; each responds with the microseconds that the request took."""
 
     def __init__(self, latency_ms: float) -> None:
         super().__init__()
@@ -38,7 +38,7 @@
         self._loop = asyncio.get_running_loop()
 
     def serve(self, connection: ServiceConnection, command: list[bytes], arrived_at: float) -> None:
-        """Answer a command, now or after the latency."""
+        """Respond to a command, now or after the latency."""
         if command[0] in SERVICE_COMMANDS:
             self._loop.call_later(self._latency_s, partial(self._reply, connection, arrived_at))
         else:
--- a/scale/fakes/counter.py
+++ b/scale/fakes/counter.py
@@ -1,4 +1,4 @@
-"""A fake counter service: keeps totals by name, each until it expires."""
+"""A fake counter service: totals by name, each until it expires."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 from .service import FakeService, ServiceConnection
 
 EXPIRY_INTERVAL_S = 5.0
-"""Between two searches for totals that have expired."""
+"""Interval between two searches for totals that have expired."""
 
 MAX_LIFETIME_MS = 60_000.0
-"""Longest life of a total, whatever a call asks for."""
+"""Longest lifetime of a total, whatever a call requests."""
 
 
 @dataclass(slots=True)
@@ -31,7 +31,7 @@
         self._totals: dict[str, Total] = {}
 
     def increment(self, name: str, amount: float, lifetime_ms: float, now: float) -> float:
-        """Add to a total and return it; its life runs from its first increment. `now` is in seconds."""
+        """Add to a total and return it; its lifetime runs from its first increment. `now` is in seconds."""
         total = self._totals.get(name)
         if total is None or total.expires_at < now:
             total = self._totals[name] = Total(now + min(MAX_LIFETIME_MS, lifetime_ms) / 1000)
@@ -39,7 +39,7 @@
         return total.value
 
     def remove_expired(self, now: float) -> None:
-        """Forget what has expired by `now`."""
+        """Remove the totals that have expired by `now`."""
         for name in [name for name, total in self._totals.items() if total.expires_at < now]:
             del self._totals[name]
 
@@ -53,39 +53,44 @@
         self._unread = b""
 
     def process_input(self, data: bytes) -> None:
-        """Answer all complete lines, in one write."""
+        """Respond to all complete lines, in one write."""
         *lines, self._unread = (self._unread + data).split(b"\r\n")
-        if answers := [self._counter.answer(line) for line in lines]:
-            self.write(b"".join(answers))
+        if responses := [self._counter.respond(line) for line in lines]:
+            self.write(b"".join(responses))
 
 
 class FakeCounter(FakeService):
-    """Serves totals; `calls` counts the increments that were answered."""
+    """Serves totals, and counts the increments."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.calls = 0
+        self._calls = 0
         self._totals = CounterTotals()
         self._expiry_task = asyncio.get_running_loop().create_task(self._remove_expired())
 
     def begin(self) -> None:
         """Restart all counts."""
         super().begin()
-        self.calls = 0
+        self._calls = 0
 
-    def answer(self, line: bytes) -> bytes:
-        """Return the answer to one line."""
+    def counts(self) -> dict[str, int]:
+        """Return the bytes and the calls since `begin`."""
+        return {**super().counts(), "calls": self._calls}
+
+    def respond(self, line: bytes) -> bytes:
+        """Return the response to one line."""
         if line == b"ping":
             return b"pong\r\n"
         try:
-            verb, name, amount, lifetime_ms = line.split()
-            increment = float(amount), float(lifetime_ms)
+            verb, name, amount_text, lifetime_text = line.split()
+            amount = float(amount_text)
+            lifetime_ms = float(lifetime_text)
         except ValueError:
             return b"error\r\n"
         if verb != b"tally":
             return b"error\r\n"
-        self.calls += 1
-        total = self._totals.increment(name.decode(), *increment, time.monotonic())
+        self._calls += 1
+        total = self._totals.increment(name.decode(), amount, lifetime_ms, time.monotonic())
         return b"ok %.3f\r\n" % total
 
     async def _remove_expired(self) -> None:
@@ -94,7 +99,7 @@
             self._totals.remove_expired(time.monotonic())
 
     def close(self) -> None:
-        """End the expiry and all connections."""
+        """Stop the expiry and abort all connections."""
         self._expiry_task.cancel()
         super().close()
 
--- a/scale/fakes/discovery.py
+++ b/scale/fakes/discovery.py
@@ -1,4 +1,4 @@
-"""A fake discovery service: gives the endpoint list and pushes its changes to watches."""
+"""A fake discovery service: serves the endpoint list and pushes its changes to watches."""
 
 from __future__ import annotations
 
@@ -7,32 +7,26 @@
 import time
 from collections import deque
 from functools import partial
-from typing import TypedDict
+
+from scale.figures import Announcement
 
 from .endpoint_list import Change, SyntheticEndpointList
 from .service import FakeService, ServiceConnection
 
 LIST_PATH = b"/catalog/members"
-"""Path of the list, and with `stream=1` of a watch."""
+"""Path of the endpoint list, and with `stream=1` of a watch."""
 
 HEARTBEAT_INTERVAL_S = 2.0
-"""Between the empty lines that show that a watch lives."""
+"""Interval between the empty lines that show that a watch is alive."""
 
 HEARTBEAT = b"1\r\n\n\r\n"
 """An empty line as a chunk."""
 
-MAX_KEPT_CHANGES = 20_000
-"""Changes that a new watch may get one by one; where it misses older ones it gets a snapshot."""
+CHANGE_HISTORY_LENGTH = 20_000
+"""Changes that a new watch can catch up with; one that missed more gets a snapshot."""
 
 MAX_HEAD_BYTES = 64 * 1024
-"""Longest head of a request, in bytes."""
-
-
-class Announcement(TypedDict):
-    """When changes were sent, in seconds of the monotonic clock, and the backends they change."""
-
-    at: float
-    hosts: list[str]
+"""Longest HTTP request head, in bytes."""
 
 
 class DiscoveryConnection(ServiceConnection):
@@ -44,7 +38,7 @@
         self._unread = b""
 
     def process_input(self, data: bytes) -> None:
-        """Answer the request once its head is complete."""
+        """Respond to the request once its head is complete."""
         self._unread += data
         if b"\r\n\r\n" in self._unread:
             target = self._unread.split(b" ", 2)[1]
@@ -55,7 +49,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """End the watch, if it is one."""
-        self._discovery.watches.pop(self, None)
+        self._discovery.close_watch(self)
         super().connection_lost(exc)
 
 
@@ -65,25 +59,32 @@
     def __init__(self, endpoints: SyntheticEndpointList) -> None:
         super().__init__()
         self.endpoints = endpoints
-        self.watches: dict[DiscoveryConnection, None] = {}  # in the order of their coming
-        self._announced: deque[Change] = deque(maxlen=MAX_KEPT_CHANGES)
+        self.watches: dict[DiscoveryConnection, None] = {}  # in the order in which they were opened
+        self._announced: deque[Change] = deque(maxlen=CHANGE_HISTORY_LENGTH)
         self._prepared: dict[int, list[Change]] = {}
         self._batch_ids = itertools.count()
         self._heartbeat_task = asyncio.get_running_loop().create_task(self._send_heartbeats())
 
     def on_request(self, connection: DiscoveryConnection, target: bytes) -> None:
-        """Answer a call for the list, or open a watch."""
+        """Respond with the list, or open a watch."""
         path, _, query = target.partition(b"?")
-        parameters = dict(item.partition(b"=")[::2] for item in query.split(b"&"))
+        parameters = parse_query(query)
         if path != LIST_PATH:
             connection.write(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
         elif parameters.get(b"stream") == b"1":
             self._open_watch(connection, known_version=int(parameters.get(b"index") or b"0"))
         else:
-            body = self.endpoints.snapshot()
-            head = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n"
-            connection.write(head % len(body))
-            connection.write(body)
+            self._send_list(connection)
+
+    def _send_list(self, connection: DiscoveryConnection) -> None:
+        body = self.endpoints.snapshot()
+        head = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n"
+        connection.write(head % len(body))
+        connection.write(body)
+
+    def close_watch(self, connection: DiscoveryConnection) -> None:
+        """Forget a connection's watch, if it has one."""
+        self.watches.pop(connection, None)
 
     def _open_watch(self, connection: DiscoveryConnection, known_version: int) -> None:
         connection.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -106,20 +107,20 @@
             for watch in list(self.watches):
                 watch.write(HEARTBEAT)
 
-    def prepare(self, counts: list[int], *, marked: bool = False) -> int:
-        """Make one watch event for each count, of so many changes, and one that marks the end if `marked`.
+    def prepare(self, counts: list[int], *, with_marker: bool = False) -> int:
+        """Create one watch event for each count, of so many changes; return the batch id for `announce`.
 
-        Returns the number to give to `announce`.
+        With a marker, one more event changes the backend that changes at no other time.
         """
         batch_id = next(self._batch_ids)
         changes = [self.endpoints.change(count) for count in counts]
-        if marked:
+        if with_marker:
             changes.append(self.endpoints.change_marker())
         self._prepared[batch_id] = changes
         return batch_id
 
     def announce(self, batch_id: int) -> Announcement:
-        """Send what was prepared to all watches, at once."""
+        """Send a prepared batch to all watches, at once."""
         changes = self._prepared.pop(batch_id)
         chunks = b"".join(encode_chunk(change.line) for change in changes)
         self._announced.extend(changes)
@@ -139,13 +140,22 @@
         return announcements
 
     def close(self) -> None:
-        """End the heartbeats and all connections."""
+        """Stop the heartbeats and abort all connections."""
         self._heartbeat_task.cancel()
         super().close()
 
 
+def parse_query(query: bytes) -> dict[bytes, bytes]:
+    """Return the parameters of a query string."""
+    parameters = {}
+    for item in query.split(b"&"):
+        name, _, value = item.partition(b"=")
+        parameters[name] = value
+    return parameters
+
+
 def encode_chunk(line: bytes) -> bytes:
-    """Return a line as a chunk of HTTP's chunked coding."""
+    """Return a line as a chunk of HTTP's chunked transfer coding."""
     return b"%x\r\n%b\n\r\n" % (len(line) + 1, line)
 
 
--- a/scale/fakes/endpoint_list.py
+++ b/scale/fakes/endpoint_list.py
@@ -11,24 +11,24 @@
 from scale.gateway_configuration import LOOPBACK, ZONES
 
 BACKENDS_PER_RACK = 40
-"""Backends that stand in one failure domain, as in the fleet that the list is modelled on."""
+"""Backends in one failure domain, as in the fleet that the list is modelled on."""
 
 NEXT_HEALTH = {"up": "draining", "draining": "removed", "removed": "up"}
-"""The life of a backend: what its health becomes at its next change."""
+"""The life cycle of a backend: what its health becomes at its next change."""
 
 
 class Change(NamedTuple):
-    """One watch event: its version, its JSON line, and the names of the backends that it changes."""
+    """One watch event: its version, its JSON line, and the hosts that it changes."""
 
     version: int
     line: bytes
     hosts: list[str]
 
 
-def listed_backend(  # noqa: PLR0913 - one argument for each key that differs
+def listed_backend(  # noqa: PLR0913 - one argument for each key that varies
     host: str, address: str, *, zone: str = "a", rack: int, health: str = "up", born_ms: int = 0
 ) -> dict[str, Any]:
-    """Return one entry of the list, as discovery gives it; `born_ms` is in Unix milliseconds."""
+    """Return one entry of the list in discovery's form; `born_ms` is its start in Unix time."""
     return {
         "host": host,
         "dial": address,
@@ -47,19 +47,19 @@
 
 
 def encode_list(version: int, entries: Iterable[bytes], *, is_snapshot: bool) -> bytes:
-    """Return the JSON object of a snapshot, or of a change, from encoded entries."""
-    whole = b"true" if is_snapshot else b"false"
-    return b'{"seq":%d,"whole":%b,"hosts":[%b]}' % (version, whole, b",".join(entries))
+    """Return the JSON object of a complete snapshot, or of a delta, from encoded entries."""
+    is_complete = b"true" if is_snapshot else b"false"
+    return b'{"seq":%d,"whole":%b,"hosts":[%b]}' % (version, is_complete, b",".join(entries))
 
 
 class SyntheticEndpointList:
     """A list of backends that changes on demand.
 
-    Entries are kept as they go on the wire, because a list is sent many times.
+    Entries are cached as they go on the wire, because a list is sent many times.
     """
 
     def __init__(self, backends: int, ports: Sequence[int], seed: int) -> None:
-        """`ports` are those of the fake backends, which the listed ones share evenly."""
+        """`ports` are those of the fake backends, which serve the listed ones in equal parts."""
         rng = random.Random(seed)
         self.version = 1
         self.entries = [
@@ -72,7 +72,7 @@
             for number in range(backends)
         ]
         self._encoded_entries = [encode_entry(entry) for entry in self.entries]
-        self._change_order = list(range(backends))  # each changes once before any changes again
+        self._change_order = list(range(backends))  # each changes once before any changes a second time
         rng.shuffle(self._change_order)
         self._marker = self._change_order.pop() if backends > 1 else 0
         self._change_count = 0
@@ -80,11 +80,11 @@
 
     @property
     def marker_host(self) -> str:
-        """The backend that changes only where a watch event is to mark an end."""
+        """The backend that only a marker changes."""
         return str(self.entries[self._marker]["host"])
 
     def snapshot(self) -> bytes:
-        """Return the whole list as one JSON line."""
+        """Return the complete list as one JSON line."""
         if not self._snapshot:
             listed = (
                 text
@@ -95,17 +95,17 @@
         return self._snapshot
 
     def change(self, count: int) -> Change:
-        """Change the next `count` backends, each to what follows in its life.
+        """Change the next `count` backends, each to the next state of its life cycle.
 
         They are distinct, so at most all but the marker change.
         """
         count = min(count, len(self._change_order))
-        places = [(self._change_count + offset) % len(self._change_order) for offset in range(count)]
+        positions = range(self._change_count, self._change_count + count)
         self._change_count += count
-        return self._apply([self._change_order[place] for place in places])
+        return self._apply([self._change_order[position % len(self._change_order)] for position in positions])
 
     def change_marker(self) -> Change:
-        """Change the backend that changes at no other time."""
+        """Change the marker's backend."""
         return self._apply([self._marker])
 
     def _apply(self, numbers: list[int]) -> Change:
--- a/scale/fakes/service.py
+++ b/scale/fakes/service.py
@@ -9,11 +9,11 @@
 from scale.gateway_configuration import LOOPBACK
 
 LISTEN_BACKLOG = 4096
-"""Connections that may wait to be accepted: a whole fleet starts at once."""
+"""Connections that may wait to be accepted: all gateways of a fleet start at once."""
 
 
 class ServiceConnection(asyncio.Protocol):
-    """One connection to a fake service, whose bytes the service counts."""
+    """One connection to a fake service, which counts its bytes."""
 
     def __init__(self, service: FakeService) -> None:
         self._service = service
@@ -25,23 +25,23 @@
         self._service.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - the protocol's signature
-        """Leave the service."""
+        """Unregister from the service."""
         self.transport = None
         self._service.connections.discard(self)
 
     def data_received(self, data: bytes) -> None:
         """Count the bytes and process them."""
-        self._service.bytes_received += len(data)
+        self._service.note_received(len(data))
         self.process_input(data)
 
     def process_input(self, data: bytes) -> None:
-        """Answer what has arrived."""
+        """Respond to what has arrived."""
         raise NotImplementedError
 
     def write(self, data: bytes) -> None:
         """Send bytes, unless the peer has gone."""
         if self.transport is not None and not self.transport.is_closing():
-            self._service.bytes_sent += len(data)
+            self._service.note_sent(len(data))
             self.transport.write(data)
 
 
@@ -50,8 +50,8 @@
 
     def __init__(self) -> None:
         self.connections: set[ServiceConnection] = set()
-        self.bytes_sent = 0
-        self.bytes_received = 0
+        self._bytes_sent = 0
+        self._bytes_received = 0
         self._servers: list[asyncio.Server] = []
 
     async def listen(self, connect: Callable[[], ServiceConnection], ports: int = 1) -> list[int]:
@@ -62,10 +62,22 @@
             self._servers.append(server)
         return [server.sockets[0].getsockname()[1] for server in self._servers]
 
+    def note_sent(self, size: int) -> None:
+        """Count bytes that were sent."""
+        self._bytes_sent += size
+
+    def note_received(self, size: int) -> None:
+        """Count bytes that were received."""
+        self._bytes_received += size
+
+    def counts(self) -> dict[str, int]:
+        """Return the bytes since `begin`."""
+        return {"sent": self._bytes_sent, "received": self._bytes_received}
+
     def begin(self) -> None:
-        """Restart all counts."""
-        self.bytes_sent = 0
-        self.bytes_received = 0
+        """Restart all counts: a measured phase begins."""
+        self._bytes_sent = 0
+        self._bytes_received = 0
 
     def close(self) -> None:
         """Stop listening and abort all connections."""
--- a/scale/fakes/worker.py
+++ b/scale/fakes/worker.py
@@ -1,4 +1,4 @@
-"""The worker role that holds fake services, and measures how late it ran itself."""
+"""The worker role that holds fake services, and measures its own timer lag."""
 
 from __future__ import annotations
 
@@ -6,15 +6,17 @@
 import time
 from typing import Any
 
+from scale.errors import RunError
+from scale.figures import Announcement
 from scale.histogram import LagMeter
 
 from .backends import start_backends
-from .counter import FakeCounter, start_counter
-from .discovery import Announcement, FakeDiscovery, start_discovery
+from .counter import start_counter
+from .discovery import FakeDiscovery, start_discovery
 from .service import FakeService
 
 POLL_INTERVAL_S = 0.01
-"""Between two looks at the number of watches."""
+"""Interval between two checks of the number of watches."""
 
 
 class FakeServicesWorker:
@@ -22,17 +24,19 @@
 
     def __init__(self) -> None:
         self._services: dict[str, FakeService] = {}
+        self._started_discovery: FakeDiscovery | None = None
         self._lag = LagMeter()
 
     @property
     def _discovery(self) -> FakeDiscovery:
-        discovery = self._services["discovery"]
-        assert isinstance(discovery, FakeDiscovery)
-        return discovery
+        if self._started_discovery is None:
+            raise RunError("discovery was called before it was started")
+        return self._started_discovery
 
     async def start_discovery(self, backends: int, ports: list[int], seed: int) -> int:
         """Start discovery with a list of so many backends; return its port."""
-        self._services["discovery"], port = await start_discovery(backends, ports, seed)
+        discovery, port = await start_discovery(backends, ports, seed)
+        self._services["discovery"] = self._started_discovery = discovery
         return port
 
     async def start_counter(self) -> int:
@@ -41,7 +45,7 @@
         return port
 
     async def start_backends(self, ports: int, latency_ms: float) -> list[int]:
-        """Start backends on so many ports; return the ports."""
+        """Start backends on `ports` free ports; return their numbers."""
         self._services["backends"], numbers = await start_backends(ports, latency_ms)
         return numbers
 
@@ -51,12 +55,12 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def marker_host(self) -> str:
-        """Return the backend whose change marks the end of others."""
+        """Return the backend whose change is announced last, as a marker."""
         return self._discovery.endpoints.marker_host
 
-    async def prepare(self, counts: list[int], marked: bool) -> int:
+    async def prepare(self, counts: list[int], with_marker: bool = False) -> int:
         """As `FakeDiscovery.prepare`."""
-        return self._discovery.prepare(counts, marked=marked)
+        return self._discovery.prepare(counts, with_marker=with_marker)
 
     async def announce(self, batch_id: int) -> Announcement:
         """As `FakeDiscovery.announce`."""
@@ -67,22 +71,20 @@
         return await self._discovery.announce_evenly(rate, seconds)
 
     async def begin(self) -> None:
-        """Count bytes, calls and lateness from here on."""
+        """Count bytes and calls, and measure timer lag, from here on."""
         for service in self._services.values():
             service.begin()
         self._lag.begin()
 
     async def read(self) -> dict[str, Any]:
-        """Return what has been counted since `begin`; lateness is over all that was measured."""
+        """Return what has been counted since `begin`; the timer lag is that of all measured phases."""
         counts: dict[str, Any] = {"lag": self._lag.read()}
         for name, service in self._services.items():
-            counts[name] = {"sent": service.bytes_sent, "received": service.bytes_received}
-            if isinstance(service, FakeCounter):
-                counts[name]["calls"] = service.calls
+            counts[name] = service.counts()
         return counts
 
     async def stall(self, duration_ms: float) -> None:
-        """Hold this process up, as a crowded machine would."""
+        """Block this process, as a busy machine would."""
         time.sleep(duration_ms / 1000)
 
     def close(self) -> None:
--- a/scale/fleet.py
+++ b/scale/fleet.py
@@ -1,8 +1,9 @@
-"""Many gateways at once: how soon changes are in force, what each takes, and what clients notice."""
+"""The fleet scenario: how soon many gateways apply changes, what each takes, and what clients notice."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import Any
 
 from rich.console import Console
 
@@ -11,12 +12,12 @@
 from .result import Goal, Result
 from .supervisor import Supervisor
 
-MAX_IN_FORCE_MS = 1_000.0
-"""Goal: until a change is in force at the slowest gateway."""
+MAX_PROPAGATION_MS = 1_000.0
+"""Goal: until the slowest gateway has applied a change."""
 
 
-@dataclass(frozen=True)
-class Fleet(FleetOptions):
+@dataclass(frozen=True, kw_only=True)
+class FleetScenario(FleetOptions):
     """The scenario: the fleet of each checkout, one after another."""
 
     async def run(self, progress: Console) -> Result:
@@ -25,12 +26,24 @@
         Raises:
             RunError: a process failed.
         """
-        result = Result.begin("fleet", self, self.programs)
+        result = Result.begin("fleet", self)
         for program in self.programs:
+            progress.print(
+                f"starting {self.hollow_gateways} hollow and {self.real_gateways} real gateways of {program}"
+            )
             async with Supervisor() as supervisor:
-                run = await FleetRun.start(self, result, progress, supervisor, program)
-                measured = result.measured[program] = await run.measure()
-            slowest_ms = max(case["slowest_ms"]["max"] for case in measured["in_force"].values())
-            goal = Goal("a change in force at the slowest gateway", "ms", MAX_IN_FORCE_MS, slowest_ms)
-            result.goals[program] = [goal]
+                fleet = await FleetRun.start(self, supervisor, program=program, result=result)
+                progress.print(f"ready: {self.started_gateways} gateways")
+                measured = result.measured[program] = await fleet.measure(progress)
+            result.goals[program] = [propagation_goal(measured)]
         return result
+
+
+def propagation_goal(measured: dict[str, Any]) -> Goal:
+    """Return the goal for the slowest gateway, over all phases of one checkout."""
+    return Goal(
+        name="change applied by the slowest gateway",
+        unit="ms",
+        limit=MAX_PROPAGATION_MS,
+        measured=max(phase["max_ms"]["max"] for phase in measured["propagation"].values()),
+    )
--- a/scale/fleet_report.py
+++ b/scale/fleet_report.py
@@ -12,60 +12,76 @@
 
 
 def print_result(console: Console, result: Result) -> None:
-    """Print how soon changes were in force, what clients noticed, and what a gateway took."""
-    tables = (in_force_table(result), client_table(result), work_table(result), counter_table(result))
+    """Print how soon changes were applied, what clients noticed, and what a gateway took."""
+    tables = (propagation_table(result), request_table(result), work_table(result), counter_table(result))
     print_run(console, result, *tables)
 
 
-def labelled_cases(result: Result, part: str) -> list[tuple[str, dict[str, Any]]]:
-    """Return the cases of one part of what was measured, of all checkouts, each with its label."""
+def labelled_phases(result: Result, section: str) -> list[tuple[str, dict[str, Any]]]:
+    """Return the phases of one section of the figures, of all checkouts, each with its label."""
     return [
-        (name + result.label(program), case)
+        (name + result.label(program), phase)
         for program, measured in result.measured.items()
-        for name, case in measured[part].items()
-        if case is not None
+        for name, phase in measured[section].items()
+        if phase is not None
     ]
 
 
-def rows_of(result: Result, part: str, keys: tuple[str, ...]) -> list[list[object]]:
-    """Return a row for each case of a part, with the figures of those keys."""
-    return [[name, *(case[key] for key in keys)] for name, case in labelled_cases(result, part)]
+def phase_rows(result: Result, section: str, keys: tuple[str, ...]) -> list[list[object]]:
+    """Return a row for each phase of a section, with the figures of those keys."""
+    return [[name, *(phase[key] for key in keys)] for name, phase in labelled_phases(result, section)]
 
 
-def in_force_table(result: Result) -> Table:
-    """Return how soon changes were in force at hollow gateways."""
-    keys = ("half_ms", "most_ms", "slowest_ms")
+def propagation_table(result: Result) -> Table:
+    """Return how soon hollow gateways applied changes."""
+    percentiles = ("p50_ms", "p99_ms", "max_ms")
     rows = [
-        [name, case["changes"], *(format_summary(case[key]) for key in keys), case["missing"]]
-        for name, case in labelled_cases(result, "in_force")
+        [name, phase["changes"], *(format_summary(phase[key]) for key in percentiles), phase["missing"]]
+        for name, phase in labelled_phases(result, "propagation")
     ]
-    title = "ms until in force at hollow gateways, median (least to most) of the changes"
-    return make_table(title, ["changes", "", "at 50 in 100", "at 99 in 100", "at all", "missing"], rows)
+    title = "Propagation of changes to the hollow gateways, ms, median (min to max) of the changes"
+    columns = ["phase", "changes", "p50 of gateways", "p99 of gateways", "last gateway", "missing"]
+    return make_table(title, columns, rows)
 
 
-def client_table(result: Result) -> Table:
+def request_table(result: Result) -> Table:
     """Return what clients of real gateways noticed."""
     rows = [
         [
             name,
-            *(case[key] for key in ("served", "refused", "failed")),
-            *(case["added"][key] for key in ("p50_ms", "p99_ms", "max_ms")),
+            *(phase[key] for key in ("served", "rejected", "failed")),
+            *(phase["added_latency"][key] for key in ("p50_ms", "p99_ms", "max_ms")),
         ]
-        for name, case in labelled_cases(result, "requests")
+        for name, phase in labelled_phases(result, "requests")
     ]
-    columns = ["requests", "served", "refused", "failed", "added, 50 in 100", "99 in 100", "most"]
-    return make_table("ms that a real gateway adds to a request", columns, rows)
+    columns = ["phase", "served", "rejected", "failed", "added, p50", "p99", "max"]
+    return make_table("Requests to the real gateways, and the latency that these add, ms", columns, rows)
 
 
 def work_table(result: Result) -> Table:
     """Return what control work took."""
-    rows = rows_of(result, "a_gateway", ("cpu_ms_per_s", "state_mb", "rss_mb", "discovery_bytes_per_s"))
-    columns = ["a hollow gateway", "ms/s", "state, MB", "with its part of the process", "discovery, bytes/s"]
-    return make_table("What control work takes", columns, rows)
+    keys = ("cpu_ms_per_s", "state_mb", "rss_mb", "discovery_bytes_per_s")
+    columns = [
+        "phase",
+        "processor time, ms/s",
+        "state, MB",
+        "with its share of the process, MB",
+        "discovery, bytes/s",
+    ]
+    return make_table("Control work of a hollow gateway", columns, phase_rows(result, "per_gateway", keys))
 
 
 def counter_table(result: Result) -> Table:
-    """Return what the counter was asked."""
-    keys = ("requests", "served", "calls_a_request", "counter_bytes_per_s", "cpu_ms_per_s", "rss_mb")
-    columns = ["customers", "requests", "served", "calls a request", "bytes/s", "ms/s", "MB"]
-    return make_table("The counter, a hollow gateway", columns, rows_of(result, "counter", keys))
+    """Return what the counter got."""
+    keys = ("requests", "served", "calls_per_request", "counter_bytes_per_s", "cpu_ms_per_s", "rss_mb")
+    columns = [
+        "customers",
+        "requests",
+        "served",
+        "calls per request",
+        "bytes/s per gateway",
+        "processor time, ms/s",
+        "memory, MB",
+    ]
+    rows = phase_rows(result, "counter", keys)
+    return make_table("Counter calls of the hollow gateways", columns, rows)
--- a/scale/gateway_configuration.py
+++ b/scale/gateway_configuration.py
@@ -12,13 +12,14 @@
 """Zones that backends and gateways are spread over."""
 
 DEADLINE_MS = 2_500
-"""How long a client waits for its answer."""
+"""How long a client waits for its response."""
 
 REQUEST_CLASS_NAME = "lookup"
 PLAN_NAME = "team"
 
 GATEWAY_MEMORY_MB = 192
 GATEWAY_SOCKETS = 1024
+"""File descriptors of a gateway."""
 
 REQUEST_CLASS = {
     "name": REQUEST_CLASS_NAME,
@@ -27,10 +28,10 @@
     "effect": "pure",
     "importance": 1.0,
 }
-"""The one class of all requests: idempotent."""
+"""The request class of all requests: idempotent."""
 
 PLAN = {"name": PLAN_NAME, "rate": 5.0, "mostAtOnce": 10.0, "overrunCost": 1.0}
-"""The one plan of all customers.
+"""The plan of all customers.
 
 Its burst is leased where a customer is spread over six gateways or fewer, and shared over more.
 """
@@ -51,7 +52,7 @@
 
 
 def settings_document(index: int, gateways: int, **changes: Any) -> dict[str, Any]:
-    """Return the settings of gateway `index` in a fleet of `gateways`; `changes` replace whole entries."""
+    """Return the settings of gateway `index` in a fleet of `gateways`; `changes` replace top-level keys."""
     document: dict[str, Any] = {
         "az": ZONES[index % len(ZONES)],
         "groupSize": gateways,
--- a/scale/gateway_launcher.py
+++ b/scale/gateway_launcher.py
@@ -1,4 +1,4 @@
-"""Starts real gateways, each just as `run` of the deploy file does, and ends them all when it ends."""
+"""The worker role that owns the real gateways of a run, each started as `run` of the deploy file does."""
 
 from __future__ import annotations
 
@@ -9,55 +9,92 @@
 import re
 import sys
 import tempfile
-from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
 from .errors import RunError
+from .figures import LaunchedGatewayFigures
 
 START_TIMEOUT_S = 60.0
 """How long a gateway may take until it listens."""
 
-LISTENING = re.compile(r"serves at [\d.]+:(\d+)")
-"""The log line of a gateway that listens, with its port."""
+LISTENING = re.compile(r"(?:serves at|listens on|listening on|listening at) [\d.]+:(\d+)")
+"""The log line of a gateway that listens, with its port; checkouts of the program word it differently."""
 
 
-@dataclass
 class LaunchedGateway:
-    """A gateway process and the last line of its log."""
+    """A gateway process and its log."""
+
+    def __init__(self, name: str, process: asyncio.subprocess.Process) -> None:
+        self._name = name
+        self._process = process
+        self._port: asyncio.Future[int] = asyncio.get_running_loop().create_future()
+        self._last_log_line = "(it logged nothing)"
+        self._log_task = asyncio.create_task(self._follow_log())
+
+    async def _follow_log(self) -> None:
+        """Read the log until the process exits, and take the port from it."""
+        assert self._process.stderr is not None
+        async for line in self._process.stderr:
+            self._last_log_line = line.decode(errors="replace").rstrip()
+            match = LISTENING.search(self._last_log_line)
+            if match and not self._port.done():
+                self._port.set_result(int(match[1]))
+        if not self._port.done():
+            message = f"gateway {self._name} exited before it listened, last log line: {self._last_log_line}"
+            self._port.set_exception(RunError(message))
+
+    async def wait_until_listening(self) -> LaunchedGatewayFigures:
+        """Wait until the gateway listens.
 
-    process: asyncio.subprocess.Process
-    port: asyncio.Future[int]
-    last_log_line: str = "it said nothing"
+        Raises:
+            RunError: it exited first, or does not listen within `START_TIMEOUT_S`.
+        """
+        try:
+            async with asyncio.timeout(START_TIMEOUT_S):
+                port = await self._port
+        except TimeoutError as error:
+            message = (
+                f"gateway {self._name} does not listen after {START_TIMEOUT_S:g} s,"
+                f" last log line: {self._last_log_line}"
+            )
+            raise RunError(message) from error
+        return {"pid": self._process.pid, "port": port}
+
+    def check(self) -> None:
+        """Check that the process still runs.
+
+        Raises:
+            RunError: it has exited.
+        """
+        exit_code = self._process.returncode
+        if exit_code is not None:
+            raise RunError(
+                f"gateway {self._name} exited with status {exit_code}, last log line: {self._last_log_line}"
+            )
 
-    async def follow_log(self) -> None:
-        """Read the log until the process exits, and learn the port from it."""
-        assert self.process.stderr is not None
-        async for line in self.process.stderr:
-            self.last_log_line = line.decode(errors="replace").rstrip()
-            if not self.port.done() and (match := LISTENING.search(self.last_log_line)):
-                self.port.set_result(int(match[1]))
-        if not self.port.done():
-            self.port.set_exception(RunError(f"a gateway ended at its start: {self.last_log_line}"))
+    def kill(self) -> None:
+        """Kill the process."""
+        with contextlib.suppress(ProcessLookupError):
+            self._process.kill()
 
 
 class GatewayLauncher:
-    """The worker role that owns the real gateways of a run."""
+    """The real gateways of a run; they are killed when the role ends."""
 
     def __init__(self) -> None:
         self._folder = tempfile.TemporaryDirectory(prefix="scale-")
         self._gateways: list[LaunchedGateway] = []
-        self._log_tasks: list[asyncio.Task[None]] = []
 
-    async def start(self, checkout: str, configs: list[dict[str, Any]]) -> list[dict[str, int]]:
-        """Start a gateway of a checkout for each configuration; return `pid` and `port` of each.
+    async def start(self, checkout: str, configs: list[dict[str, Any]]) -> list[LaunchedGatewayFigures]:
+        """Start a gateway of a checkout for each configuration.
 
         Raises:
             RunError: a gateway exited before it listened.
         """
         return list(await asyncio.gather(*(self._start(checkout, config) for config in configs)))
 
-    async def _start(self, checkout: str, config: dict[str, Any]) -> dict[str, int]:
+    async def _start(self, checkout: str, config: dict[str, Any]) -> LaunchedGatewayFigures:
         path = Path(self._folder.name) / f"{config['name']}.json"
         path.write_text(json.dumps(config))
         environment = {name: value for name, value in os.environ.items() if name != "PYTHONPATH"}
@@ -70,25 +107,21 @@
             stdin=asyncio.subprocess.DEVNULL,
             stderr=asyncio.subprocess.PIPE,
         )
-        gateway = LaunchedGateway(process, asyncio.get_running_loop().create_future())
+        gateway = LaunchedGateway(config["name"], process)
         self._gateways.append(gateway)
-        self._log_tasks.append(asyncio.create_task(gateway.follow_log()))
-        async with asyncio.timeout(START_TIMEOUT_S):
-            return {"pid": process.pid, "port": await gateway.port}
+        return await gateway.wait_until_listening()
 
     async def check(self) -> None:
         """Check that all gateways still run.
 
         Raises:
-            RunError: one has exited; the message holds the last line of its log.
+            RunError: one has exited.
         """
         for gateway in self._gateways:
-            if (code := gateway.process.returncode) is not None:
-                raise RunError(f"a gateway ended with {code}: {gateway.last_log_line}")
+            gateway.check()
 
     def close(self) -> None:
         """Kill all gateways."""
         for gateway in self._gateways:
-            with contextlib.suppress(ProcessLookupError):
-                gateway.process.kill()
+            gateway.kill()
         self._folder.cleanup()
--- a/scale/histogram.py
+++ b/scale/histogram.py
@@ -3,22 +3,30 @@
 from __future__ import annotations
 
 import asyncio
+import statistics
 import time
 from collections.abc import Sequence
 
 from hdrh.histogram import HdrHistogram
 
+from .figures import LatencySummary, RepeatSummary
+
 MAX_US = 600_000_000
-"""Longest latency that is told from longer ones: ten minutes, in microseconds."""
+"""Highest latency that the histogram resolves, in microseconds: ten minutes."""
 
 SIGNIFICANT_DIGITS = 3
+"""Decimal digits to which the histogram resolves a latency."""
 
 TICK_S = 0.005
-"""Between two timers of a lag meter."""
+"""Interval between two timers of a lag meter."""
+
+
+SUMMARY_DIGITS = 4
+"""Decimal places of a summary of repeats."""
 
 
 class LatencyHistogram:
-    """A histogram of latencies in milliseconds, to three digits and from a microsecond on."""
+    """A histogram of latencies in milliseconds, with three significant digits and from a microsecond on."""
 
     def __init__(self) -> None:
         self._histogram = HdrHistogram(1, MAX_US, SIGNIFICANT_DIGITS)
@@ -32,11 +40,11 @@
         self._histogram.record_value(min(MAX_US, max(1, round(latency_ms * 1000))))
 
     def percentile(self, percent: float) -> float:
-        """Return the latency that so many in 100 do not exceed; 0 where there are none."""
+        """Return a percentile in milliseconds; 0 where nothing was recorded."""
         return float(self._histogram.get_value_at_percentile(percent)) / 1000 if self._count else 0.0
 
-    def summary(self) -> dict[str, float]:
-        """Return `count`, and in milliseconds `p50_ms`, `p99_ms` and `max_ms`."""
+    def summary(self) -> LatencySummary:
+        """Return the number of latencies and their percentiles, rounded to a microsecond."""
         return {
             "count": self._count,
             "p50_ms": round(self.percentile(50), 3),
@@ -46,7 +54,7 @@
 
 
 class LagMeter:
-    """How late the timers of the running event loop come, over all that is measured."""
+    """How late the timers of the running event loop fire, over all measured phases."""
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
@@ -69,8 +77,8 @@
         self._handle.cancel()
         self._schedule()
 
-    def read(self) -> dict[str, float]:
-        """Stop measuring; return the lags of all that was measured, as `LatencyHistogram.summary`."""
+    def read(self) -> LatencySummary:
+        """Stop measuring; return the lags of all measured phases so far."""
         self._is_measuring = False
         return self._lags.summary()
 
@@ -79,13 +87,16 @@
         self._handle.cancel()
 
 
-def summarize(values: Sequence[float]) -> dict[str, float]:
-    """Return `min`, `median` and `max` of measured values, in their own unit; all 0 where there are none."""
-    ordered = sorted(values) or [0.0]
-    median = (ordered[(len(ordered) - 1) // 2] + ordered[len(ordered) // 2]) / 2
-    return {"min": round(ordered[0], 4), "median": round(median, 4), "max": round(ordered[-1], 4)}
+def summarize(values: Sequence[float]) -> RepeatSummary:
+    """Return the summary of measured values, in their own unit; all 0 where there are none."""
+    values = values or [0.0]
+    return {
+        "min": round(min(values), SUMMARY_DIGITS),
+        "median": round(statistics.median(values), SUMMARY_DIGITS),
+        "max": round(max(values), SUMMARY_DIGITS),
+    }
 
 
 def nearest_rank(ordered: Sequence[float], percent: int) -> float:
-    """Return the value of a sorted sequence that so many in 100 do not exceed."""
+    """Return a percentile of a sorted sequence by the nearest-rank method."""
     return ordered[max(0, -(-len(ordered) * percent // 100) - 1)]
--- a/scale/hollow_fleet.py
+++ b/scale/hollow_fleet.py
@@ -5,34 +5,16 @@
 import asyncio
 import contextlib
 import time
-from typing import Any, TypedDict
+from typing import Any
 
-from .customers import Customers
+from .customers import CustomerPopulation, Customers
+from .figures import HollowFigures, HollowStartFigures
 from .hollow_gateway import HollowGateway, backend_id_of, freeze_garbage_collector, send_requests
 from .machine import resident_mb
+from .propagation import NOT_APPLIED
 
 POLL_INTERVAL_S = 0.05
-"""Between two looks at whether changes are applied."""
-
-NOT_APPLIED = -1.0
-"""Stands for the milliseconds of a change that was not applied in time."""
-
-
-class StartFigures(TypedDict):
-    """Memory of the process before and after the start of its gateways, in MB."""
-
-    before_mb: float
-    after_mb: float
-
-
-class FleetFigures(TypedDict):
-    """What the gateways of a process took since `HollowFleet.begin`."""
-
-    cpu_s: float
-    seconds: float
-    rss_mb: float
-    sent: int
-    served: int
+"""Interval between two checks of whether changes are applied."""
 
 
 class HollowFleet:
@@ -42,9 +24,8 @@
         self._gateways: list[HollowGateway] = []
         self._cpu_at_begin_s = 0.0
         self._began_at = 0.0
-        self._customers: Customers | None = None
 
-    async def start(self, configs: list[dict[str, Any]]) -> StartFigures:
+    async def start(self, configs: list[dict[str, Any]]) -> HollowStartFigures:
         """Start a gateway for each configuration, one after another."""
         before_mb = resident_mb()
         for config in configs:
@@ -62,8 +43,8 @@
         self._cpu_at_begin_s = time.process_time()
         self._began_at = time.monotonic()
 
-    async def read(self) -> FleetFigures:
-        """Return what all took since `begin`."""
+    async def read(self) -> HollowFigures:
+        """Return what all gateways took since `begin`."""
         return {
             "cpu_s": time.process_time() - self._cpu_at_begin_s,
             "seconds": time.monotonic() - self._began_at,
@@ -72,26 +53,22 @@
             "served": sum(gateway.served_requests for gateway in self._gateways),
         }
 
-    async def use_customers(self, **customers: int) -> None:
-        """Have customers, as the arguments of `Customers` say."""
-        self._customers = Customers(**customers)
-
-    async def send_requests(self, rate: float, seconds: float) -> None:
-        """Give each gateway `rate` requests a second for so many seconds."""
-        assert self._customers is not None
-        await send_requests(self._gateways, self._customers, rate, seconds)
+    async def send_requests(self, customers: dict[str, int], rate: float, seconds: float) -> None:
+        """Give each gateway `rate` requests a second; `customers` are the fields of `CustomerPopulation`."""
+        picked = Customers(CustomerPopulation(**customers))
+        await send_requests(self._gateways, picked, rate=rate, seconds=seconds)
 
-    async def time_to_apply(
-        self, hosts: list[str], announced_at: list[float], patience_s: float
+    async def propagation_delays(
+        self, hosts: list[str], announced_at: list[float], wait_s: float
     ) -> list[list[float]]:
         """Return for each change the milliseconds until it was applied, by gateway.
 
-        `NOT_APPLIED` stands for one that was not within `patience_s`.
+        `NOT_APPLIED` stands for one that was not applied within `wait_s`.
         """
-        give_up_at = time.monotonic() + patience_s
+        deadline = time.monotonic() + wait_s
         changes = [(backend_id_of(host), at) for host, at in zip(hosts, announced_at, strict=True)]
-        # Only the last is polled for: a look at all of them would take the time that is measured.
-        while changes and time.monotonic() < give_up_at and not self._is_applied(*changes[-1]):
+        # Only the last change is polled for: a search for each would take time that is measured.
+        while changes and time.monotonic() < deadline and not self._is_applied(*changes[-1]):
             await asyncio.sleep(POLL_INTERVAL_S)
         return [[self._delay_ms(gateway, *change) for gateway in self._gateways] for change in changes]
 
--- a/scale/hollow_gateway.py
+++ b/scale/hollow_gateway.py
@@ -1,7 +1,7 @@
 """A hollow gateway: the program's own control parts, joined as the program joins them, without clients.
 
-It watches the endpoint list, holds its state and keeps leases at the counter. Requests reach the policy as
-commands, and what is forwarded ends at once as served, so the calls to the counter are the true ones.
+It watches the endpoint list, holds its state and refreshes leases over the counter. Requests reach the policy
+as commands, and each attempt succeeds at once, so the counter gets the calls that it would get in service.
 
 This is the only module that imports the program: only worker processes that measure one may import it.
 """
@@ -33,23 +33,24 @@
 from gateway.policy.events import Outcome, UpdateKind
 
 from .customers import Customers
+from .pacing import due_requests
 
 __all__ = ["HollowGateway", "WatchEvent", "backend_id_of", "freeze_garbage_collector", "send_requests"]
 
 REQUEST_INTERVAL_S = 0.005
-"""Between two looks at which requests are due."""
+"""Interval between two checks of which requests are due."""
 
 
 class ServingBackendPool(BackendPool):
-    """A pool that holds the endpoint list as ever, and ends each attempt at once as served."""
+    """The program's pool, on which each attempt succeeds at once."""
 
     def start(self, attempt: BackendAttempt) -> None:
-        """End the attempt as served."""
+        """End the attempt as successful."""
         attempt.end(Outcome.OK)
 
 
 class CountedReply(PendingReply):
-    """The place of a reply that no client waits for."""
+    """A pending reply that no client waits for."""
 
     __slots__ = ("_gateway",)
 
@@ -61,22 +62,23 @@
         """Count the request, if it was served."""
         if not self.is_completed:
             self.is_completed = True
-            self._gateway.served_requests += reply.startswith(b"$")
+            if reply.startswith(b"$"):
+                self._gateway.note_served()
 
     def detect_disconnect(self) -> None:
-        """Do nothing: no client stands behind it that could leave."""
+        """Do nothing: there is no client that could disconnect."""
 
 
 @dataclass(frozen=True, slots=True)
 class WatchEvent:
-    """When a change of the list had been applied, in monotonic seconds, and the backends it changed."""
+    """When a change of the list had been applied, in monotonic seconds, and the backends that it changed."""
 
     applied_at: float
     backend_ids: list[int]
 
 
 class HollowGateway:
-    """One hollow gateway. Notes when each change of the list was applied."""
+    """One hollow gateway, which records when each change of the list was applied."""
 
     def __init__(self, raw_config: dict[str, Any], on_update: Callable[[], None] | None = None) -> None:
         """`raw_config` holds no cached list; `on_update` is called after each part of a list or change."""
@@ -99,7 +101,7 @@
         self._watch_task: asyncio.Task[None] | None = None
         self._request_ids = itertools.count(1)
         self.watch_events: list[WatchEvent] = []
-        self._applied_at: dict[int, list[float]] = {}  # by backend, from events that were looked at
+        self._applied_at: dict[int, list[float]] = {}  # by backend, of the events that were searched
         self.begin()
 
     def begin(self) -> None:
@@ -108,13 +110,15 @@
         self._applied_at.clear()
         self.sent_requests = 0
         self.served_requests = 0
-        self.change_count = 0
+
+    def note_served(self) -> None:
+        """Count a request as served."""
+        self.served_requests += 1
 
     def _on_endpoints(self, *args: Any, **kwargs: Any) -> None:
         self._dispatcher.on_endpoints(*args, **kwargs)
         kind, endpoints = args[:2]
         if kind is UpdateKind.DELTA:
-            self.change_count += 1
             backend_ids = [listed.endpoint.backend_id for listed in endpoints]
             self.watch_events.append(WatchEvent(time.monotonic(), backend_ids))
         if self._on_update is not None:
@@ -125,7 +129,7 @@
         self._watch_task = asyncio.get_running_loop().create_task(self._watcher.run())
 
     async def wait_for_snapshot(self) -> None:
-        """Wait until the whole list has been read; raises what ended the watch, if that ended."""
+        """Wait until a complete snapshot has been read; raises what ended the watch, if that ended."""
         assert self._watch_task is not None
         snapshot = asyncio.get_running_loop().create_task(self._watcher.snapshot_received.wait())
         await asyncio.wait({snapshot, self._watch_task}, return_when=asyncio.FIRST_COMPLETED)
@@ -134,15 +138,19 @@
             self._watch_task.result()
 
     def applied_at(self, backend_id: int, since: float) -> float | None:
-        """Return when the first change of a backend since a time was applied, None while it is not.
+        """Return when the first change of a backend since a time was applied, None where none was yet.
 
         Both times are in monotonic seconds.
         """
-        events, self.watch_events = self.watch_events, []
-        for event in events:
+        self._index_watch_events()
+        return next((at for at in self._applied_at.get(backend_id, ()) if at >= since), None)
+
+    def _index_watch_events(self) -> None:
+        """Sort the events that have come since the last search by backend."""
+        for event in self.watch_events:
             for changed in event.backend_ids:
                 self._applied_at.setdefault(changed, []).append(event.applied_at)
-        return next((at for at in self._applied_at.get(backend_id, ()) if at >= since), None)
+        self.watch_events.clear()
 
     def send_request(self, customers: Customers) -> None:
         """Give the policy a request of one of this gateway's customers."""
@@ -160,7 +168,7 @@
 
 
 def create_backend_pool(config: GatewayConfig, timers: TimerQueue) -> BackendPool:
-    """Create the pool as the program does, but one that serves at once."""
+    """Create the pool as the program does, but one on which each attempt succeeds at once."""
     return ServingBackendPool(
         asyncio.get_running_loop(),
         timers,
@@ -196,24 +204,19 @@
 
 
 async def send_requests(
-    gateways: list[HollowGateway], customers: Customers, rate: float, seconds: float
+    gateways: list[HollowGateway], customers: Customers, *, rate: float, seconds: float
 ) -> None:
-    """Give each gateway `rate` requests a second, evenly, for so many seconds."""
+    """Give each gateway `rate` requests a second, evenly, and return after so many seconds."""
     started_at = time.monotonic()
     total_rate = rate * len(gateways)
-    total = int(rate * seconds * len(gateways))
-    sent = 0
-    while sent < total:
-        now = time.monotonic()
-        while sent < total and started_at + sent / total_rate <= now:
-            gateways[sent % len(gateways)].send_request(customers)
-            sent += 1
-        await asyncio.sleep(REQUEST_INTERVAL_S)
+    async for due in due_requests(rate=total_rate, seconds=seconds, interval_s=REQUEST_INTERVAL_S):
+        for number in due:
+            gateways[number % len(gateways)].send_request(customers)
     await asyncio.sleep(max(0.0, started_at + seconds - time.monotonic()))
 
 
 def freeze_garbage_collector() -> float:
-    """Collect and freeze, as the program does once it has started; return the milliseconds that it took."""
+    """Collect and freeze, as the program does at the end of its start; return the wall time in ms."""
     started_at = time.perf_counter()
     gc.collect()
     gc.freeze()
--- a/scale/load_generator.py
+++ b/scale/load_generator.py
@@ -1,4 +1,4 @@
-"""The worker role of the clients: requests at an even rate to gateways, whatever becomes of those before."""
+"""The worker role of the clients: requests at an even rate to real gateways, and what becomes of them."""
 
 from __future__ import annotations
 
@@ -6,21 +6,23 @@
 import itertools
 import time
 from dataclasses import dataclass, field
-from typing import Any, cast
+from typing import cast
 
-from .customers import Customers
+from .customers import CustomerPopulation, Customers
+from .figures import LatencySummary, LoadSummary
 from .gateway_configuration import DEADLINE_MS, LOOPBACK
 from .histogram import LagMeter, LatencyHistogram
+from .pacing import due_requests
 from .resp import encode_command, parse_reply
 
 SEND_INTERVAL_S = 0.002
-"""Between two looks at which requests are due."""
+"""Interval between two checks of which requests are due."""
 
 REQUEST_TIMEOUT_S = DEADLINE_MS / 1000 + 0.5
-"""A gateway owes an answer within the deadline; the rest is for the way."""
+"""How long a client waits: the deadline, within which a gateway responds, and time for the network."""
 
 MAX_OPEN_REQUESTS = 5_000
-"""Requests in flight at once; those over it are counted as unsent."""
+"""Requests in flight at once; those beyond are counted as unsent."""
 
 
 @dataclass
@@ -36,8 +38,17 @@
     latency: LatencyHistogram = field(default_factory=LatencyHistogram)
     added_latency: LatencyHistogram = field(default_factory=LatencyHistogram)
 
-    def record(self, request: LoadRequest, reply: bytes | None) -> None:
-        """Take in the reply to a request; None: there was none."""
+    def begin_request(self) -> bool:
+        """Count a request as sent; False, and counted as unsent, where too many are in flight."""
+        if self.in_flight >= MAX_OPEN_REQUESTS:
+            self.unsent += 1
+            return False
+        self.sent += 1
+        self.in_flight += 1
+        return True
+
+    def end_request(self, request: LoadRequest, reply: bytes | None) -> None:
+        """Count what became of a request; None: there was no reply."""
         self.in_flight -= 1
         if reply is not None and reply.startswith(b"$"):
             latency_ms = (time.monotonic() - request.sent_at) * 1000
@@ -50,16 +61,16 @@
         else:
             self.failed += 1
 
-    def summary(self) -> dict[str, Any]:
-        """Return counts of requests, and the histograms of latency and of what a gateway adds to it."""
+    def summary(self) -> LoadSummary:
+        """Return the counts of requests and the summaries of their latencies."""
         return {
             "sent": self.sent,
             "unsent": self.unsent,
             "served": self.served,
-            "refused": self.rejected,
+            "rejected": self.rejected,
             "failed": self.failed,
             "latency": self.latency.summary(),
-            "added": self.added_latency.summary(),
+            "added_latency": self.added_latency.summary(),
         }
 
 
@@ -74,6 +85,10 @@
         self.sent_at = time.monotonic()
         self.is_retry = False
 
+    def end(self, reply: bytes | None) -> None:
+        """Count what became of the request; None: there was no reply."""
+        self.result.end_request(self, reply)
+
 
 class ClientConnection(asyncio.Protocol):
     """One connection to a gateway, with one request on it at a time."""
@@ -104,15 +119,24 @@
         self.request = None
         self._unread = b""
         self._target.idle_connections.append(self)
-        request.result.record(request, reply)
+        request.end(reply)
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - the protocol's signature
-        """Hand the open request back."""
+        """Hand the open request back to the target."""
         request = self.request
         self.request = None
         self._transport = None
         self._target.on_connection_lost(self, request, reply_begun=bool(self._unread))
 
+    def expire_request(self, sent_before: float) -> None:
+        """Fail the open request and abort the connection, if the request was sent before a time."""
+        request = self.request
+        if request is None or request.sent_at >= sent_before:
+            return
+        self.request = None
+        self.close()
+        request.end(None)
+
     def close(self) -> None:
         """Abort the connection."""
         if self._transport is not None:
@@ -145,7 +169,7 @@
             async with asyncio.timeout(REQUEST_TIMEOUT_S):
                 await loop.create_connection(lambda: connection, LOOPBACK, self._port)
         except OSError:  # time-outs are among these
-            request.result.record(request, None)
+            request.end(None)
             return
         self._connections.add(connection)
         connection.send(request)
@@ -160,19 +184,15 @@
         if request is None:
             return
         if reply_begun or request.is_retry:
-            request.result.record(request, None)
+            request.end(None)
             return
         request.is_retry = True
         self.send(request)
 
     def expire_requests(self, sent_before: float) -> None:
-        """Give up requests that were sent before a time and have no reply yet."""
+        """Fail requests that were sent before a time and have no reply yet."""
         for connection in list(self._connections):
-            request = connection.request
-            if request is not None and request.sent_at < sent_before:
-                connection.request = None
-                connection.close()
-                request.result.record(request, None)
+            connection.expire_request(sent_before)
 
     def close(self) -> None:
         """Abort all connections."""
@@ -181,58 +201,51 @@
 
 
 class LoadGenerator:
-    """The clients of one process, and how late it ran."""
+    """The clients of one process, and its timer lag."""
 
     def __init__(self) -> None:
         self._targets: list[GatewayTarget] = []
         self._request_ids = itertools.count(1)
         self._lag = LagMeter()
 
-    async def connect(
-        self, gateways: list[list[int]], customers: int, fleet: int, spread: int, seed: int
-    ) -> None:
-        """Name the gateways, each by its index and port, and the customers of the fleet."""
+    async def connect(self, gateways: list[list[int]], customers: dict[str, int]) -> None:
+        """Name the gateways, each by its index and port, and the fields of the `CustomerPopulation`."""
         self._targets = [GatewayTarget(index, port) for index, port in gateways]
-        self._customers = Customers(customers, fleet, spread, seed)
+        self._customers = Customers(CustomerPopulation(**customers))
 
-    async def run(self, rate: float, seconds: float) -> dict[str, Any]:
+    async def run(self, rate: float, seconds: float) -> LoadSummary:
         """Send `rate` requests a second over all gateways, wait for the replies, and return the summary."""
         result = LoadResult()
-        started_at = time.monotonic()
-        total = int(rate * seconds)
-        due = 0
-        while due < total:
-            now = time.monotonic()
-            while due < total and started_at + due / rate <= now:
-                self._send(self._targets[due % len(self._targets)], result)
-                due += 1
-            self._expire_requests(now - REQUEST_TIMEOUT_S)
-            await asyncio.sleep(SEND_INTERVAL_S)
-        give_up_at = time.monotonic() + REQUEST_TIMEOUT_S
-        while result.in_flight and time.monotonic() < give_up_at:
-            await asyncio.sleep(SEND_INTERVAL_S)
-        self._expire_requests(give_up_at)
+        async for due in due_requests(rate=rate, seconds=seconds, interval_s=SEND_INTERVAL_S):
+            for number in due:
+                self._send(self._targets[number % len(self._targets)], result)
+            self._expire_requests(time.monotonic() - REQUEST_TIMEOUT_S)
+        await self._wait_for_replies(result)
         return result.summary()
 
     def _send(self, target: GatewayTarget, result: LoadResult) -> None:
-        if result.in_flight >= MAX_OPEN_REQUESTS:
-            result.unsent += 1
+        if not result.begin_request():
             return
         command = encode_command(*self._customers.request(target.index, next(self._request_ids)))
-        result.sent += 1
-        result.in_flight += 1
         target.send(LoadRequest(command, result))
 
+    async def _wait_for_replies(self, result: LoadResult) -> None:
+        """Wait until no request is in flight, and fail those that have no reply in time."""
+        deadline = time.monotonic() + REQUEST_TIMEOUT_S
+        while result.in_flight and time.monotonic() < deadline:
+            await asyncio.sleep(SEND_INTERVAL_S)
+        self._expire_requests(deadline)
+
     def _expire_requests(self, sent_before: float) -> None:
         for target in self._targets:
             target.expire_requests(sent_before)
 
     async def begin(self) -> None:
-        """Count lateness from here on."""
+        """Measure timer lag from here on."""
         self._lag.begin()
 
-    async def read(self) -> dict[str, Any]:
-        """Return how late this process ran in all that was measured."""
+    async def read(self) -> dict[str, LatencySummary]:
+        """Return the timer lag of this process in all measured phases."""
         return {"lag": self._lag.read()}
 
     def close(self) -> None:
--- a/scale/machine.py
+++ b/scale/machine.py
@@ -1,4 +1,4 @@
-"""What a run may take of the machine it is on, and what of the machine a result depends on."""
+"""What a run needs and may take of its machine, and the machine's description in a result."""
 
 from __future__ import annotations
 
@@ -12,77 +12,88 @@
 from .errors import UsageError
 
 MAX_MEMORY_SHARE = 0.5
-"""Part of the machine's memory that a run may take."""
+"""Fraction of the machine's memory that a run may take."""
 
 MAX_PROCESSES = 300
+"""Processes that a run may start."""
 
 SUPPORT_PROCESSES = 6
-"""Beside the gateways: the leading process, three of fakes, the clients, the launcher of real gateways."""
+"""Processes beside the gateways: the leading one, three of fakes, the clients and the launcher."""
 
 PROCESS_MB = 35.0
-"""Of a process with the program in it and no list, with room to spare."""
+"""Memory of a process that has imported the program and has no endpoint list, rounded up, in MB."""
 
 GATEWAY_MB = 0.5
-"""Of a gateway without a list."""
+"""Memory of a gateway without an endpoint list, in MB."""
 
 BACKEND_KB = 1.25
-"""Of a gateway, for a listed backend."""
+"""Memory that a gateway takes for a listed backend, in KB."""
 
 CUSTOMER_KB = 2.0
-"""Of a gateway, for a customer it serves."""
+"""Memory that a gateway takes for a customer that it serves, in KB."""
 
 LIST_ENTRY_KB = 1.5
-"""Of fake discovery, for a listed backend."""
+"""Memory that the fake discovery takes for a listed backend, in KB."""
 
 ENCODED_ENTRY_KB = 0.14
-"""Of a listed backend, on the wire."""
+"""Size of a listed backend on the wire, in KB."""
 
 READ_BUFFER_LISTS = 12.0
-"""Whole lists' worth of bytes that a process holds while it reads one."""
+"""Memory that a process needs to read a list, as a multiple of the list's size on the wire."""
 
 MAX_CONCURRENT_SNAPSHOTS = 64
-"""Snapshots that are on their way from fake discovery at once."""
+"""Snapshots that the fake discovery has in flight at once."""
 
 SPARE_DESCRIPTORS = 64
-"""Of a process, for all but connections."""
+"""File descriptors of a process that are no connections."""
 
 DESCRIPTORS_PER_GATEWAY = 4
-"""At the counter, which has more of them than discovery."""
+"""File descriptors of the fake counter for each gateway; the fake discovery needs fewer."""
 
 KB_PER_MB = 1024
 
 
 def gateway_mb(backends: int, customers: float) -> float:
-    """Return the megabytes of a gateway's control state that meets so many customers, rather too many."""
+    """Return an upper estimate of a gateway's control state, in MB."""
     return GATEWAY_MB + (backends * BACKEND_KB + customers * CUSTOMER_KB) / KB_PER_MB
 
 
+def served_customers(
+    customers: int, *, fleet: int, gateways_per_customer: int, request_rate: float, seconds: float
+) -> float:
+    """Return an upper estimate of the customers of the fleet that one gateway meets in a phase.
+
+    `request_rate` is the gateway's, per second: it meets no more customers than it gets requests.
+    """
+    return min(customers * gateways_per_customer / fleet, request_rate * seconds)
+
+
 def read_buffer_mb(backends: int) -> float:
-    """Return the megabytes that a process needs for a while to read a whole list."""
+    """Return the temporary memory that a process needs to read a snapshot, in MB."""
     return backends * ENCODED_ENTRY_KB * READ_BUFFER_LISTS / KB_PER_MB
 
 
 def discovery_mb(backends: int, watches: int) -> float:
-    """Return the megabytes of fake discovery: the list, and what is on its way to those that read it."""
+    """Return the memory of the fake discovery, in MB: the list, and the snapshots in flight."""
     snapshots = 2 + min(watches, MAX_CONCURRENT_SNAPSHOTS)
     return backends * LIST_ENTRY_KB / KB_PER_MB + backends * ENCODED_ENTRY_KB / KB_PER_MB * snapshots
 
 
 def check_fleet_size(gateways: int, fleet: int) -> None:
-    """Check that the fleet has at least so many gateways.
+    """Check that the fleet has at least as many gateways as are started.
 
     Raises:
         UsageError: it has fewer.
     """
     if gateways > fleet:
-        raise UsageError(f"{gateways} gateways are more than the fleet of {fleet}")
+        raise UsageError(f"{gateways} started gateways are more than the fleet of {fleet}")
 
 
 def check_capacity(megabytes: float, processes: int, descriptors: int = 0) -> None:
-    """Check that this machine has room for a run; `descriptors` are those of one process.
+    """Check that this machine can carry a run; `descriptors` are those of one process.
 
     Raises:
-        UsageError: it has not.
+        UsageError: it cannot.
     """
     total_mb = psutil.virtual_memory().total / 2**20
     if megabytes > total_mb * MAX_MEMORY_SHARE:
@@ -95,16 +106,16 @@
     limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     needed = descriptors + SPARE_DESCRIPTORS
     if limit != resource.RLIM_INFINITY and needed > limit:
-        raise UsageError(f"these sizes need {needed} open files of a process, over {limit}")
+        raise UsageError(f"these sizes need {needed} file descriptors in one process, over {limit}")
 
 
 def resident_mb(pid: int | None = None) -> float:
-    """Return the megabytes of a process that are in memory; None: of this one."""
+    """Return the resident memory of a process, by default of this one, in MB."""
     return psutil.Process(pid).memory_info().rss / 2**20
 
 
 def describe_machine() -> dict[str, Any]:
-    """Return the machine's facts, as far as a result depends on them."""
+    """Return the machine's properties that a result depends on."""
     return {
         "cores": os.cpu_count(),
         "memory_mb": round(psutil.virtual_memory().total / 2**20),
--- a/scale/quickstart.py
+++ b/scale/quickstart.py
@@ -3,41 +3,39 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from pathlib import Path
 
 from rich.console import Console
 
 from . import machine
-from .environment import Environment
+from .customers import CustomerPopulation
+from .environment import Environment, send_load
+from .figures import LatencySummary
 from .result import Result
+from .run_options import RunOptions
 from .supervisor import Supervisor, WorkerProcess
 from .tables import make_table, print_run
 
-LATENCY_MS = 5.0
-"""Of the fake backends."""
+GATEWAYS_PER_CUSTOMER = 2
+"""Size of each customer's gateway set, where there are as many gateways."""
 
-REPLY_TIMEOUT_S = 60.0
-"""Over the time of the load itself, until the clients count as failed."""
 
-
-@dataclass(frozen=True)
-class Quickstart:
-    """What to run; `rate` is requests a second over all gateways."""
+@dataclass(frozen=True, kw_only=True)
+class QuickstartScenario(RunOptions):
+    """The scenario and its options; it measures the first checkout only."""
 
     gateways: int
     backends: int
     customers: int
-    rate: float
+    request_rate: float
+    """Requests a second over all gateways."""
+
     seconds: float
-    seed: int
-    program: str
-    stall: float = 0.0
 
     def check(self) -> None:
-        """Check that this machine has room for these sizes.
+        """Check that this machine can carry these sizes.
 
         Raises:
-            UsageError: it has not.
+            UsageError: it cannot.
         """
         gateway_mb = machine.PROCESS_MB + machine.gateway_mb(self.backends, self.customers)
         gateway_mb += machine.read_buffer_mb(self.backends)
@@ -47,55 +45,53 @@
         machine.check_capacity(self.gateways * gateway_mb + support_mb, processes)
 
     async def run(self, progress: Console) -> Result:
-        """Start all, send the requests and count.
+        """Start all processes, send the requests and count what became of them.
 
         Raises:
             RunError: a process failed.
         """
-        result = Result.begin("quickstart", self, [self.program])
+        result = Result.begin("quickstart", self)
         async with Supervisor() as supervisor:
             environment = await Environment.start(
-                supervisor,
-                backends=self.backends,
-                seed=self.seed,
-                latency_ms=LATENCY_MS,
-                stall_ms=self.stall,
+                supervisor, backends=self.backends, seed=self.seed, stall_ms=self.stall_ms
             )
-            load = await self._start_load(supervisor, environment)
-            progress.print(f"all is up: {self.gateways} gateways, a list of {self.backends} backends")
-            await environment.begin(load)
-            timeout_s = self.seconds + REPLY_TIMEOUT_S
-            requests = await load.call("run", rate=self.rate, seconds=self.seconds, timeout_s=timeout_s)
-            counts = await environment.read(result, "under load", load)
+            clients = await self._start_gateways(environment)
+            progress.print(f"ready: {self.gateways} gateways, an endpoint list of {self.backends} backends")
+            await environment.begin(clients)
+            requests = await send_load(clients, rate=self.request_rate, seconds=self.seconds)
+            counts = await environment.read(result, "under load", clients)
         result.measured = {"requests": requests, "counter_calls": counts["counter"]["calls"]}
         return result
 
-    async def _start_load(self, supervisor: Supervisor, environment: Environment) -> WorkerProcess:
+    async def _start_gateways(self, environment: Environment) -> WorkerProcess:
+        """Start the gateways and return their clients."""
         configs = [environment.config(index, self.gateways) for index in range(self.gateways)]
-        gateways = await environment.launch_gateways(Path(self.program), configs)
+        gateways = await environment.launch_gateways(self.programs[0], configs)
         await environment.wait_for_watches(self.gateways)
-        load = await supervisor.start("load")
-        await load.call(
-            "connect",
-            gateways=[[index, gateway["port"]] for index, gateway in enumerate(gateways)],
-            customers=self.customers,
-            fleet=self.gateways,
-            spread=min(2, self.gateways),
+        customers = CustomerPopulation(
+            count=self.customers,
+            gateways=self.gateways,
+            gateways_per_customer=GATEWAYS_PER_CUSTOMER,
             seed=self.seed,
         )
-        return load
+        return await environment.start_clients([gateway["port"] for gateway in gateways], customers)
 
 
 def print_result(console: Console, result: Result) -> None:
     """Print what was served, rejected and failed, and how fast."""
-    asked = result.asked
+    options = result.options
     requests = result.measured["requests"]
-    rows = [(name, requests[name]) for name in ("sent", "served", "refused", "failed")]
-    rows += [
-        (f"{title}, {percent} in 100", f"{requests[key][f'p{percent}_ms']:.2f} ms")
-        for title, key in (("latency", "latency"), ("added by the gateway", "added"))
-        for percent in (50, 99)
-    ]
-    rows.append(("calls at the counter", result.measured["counter_calls"]))
-    title = f"{asked['gateways']} gateways, {asked['customers']} customers, {asked['seconds']:g} s"
+    rows = [(name, requests[name]) for name in ("sent", "served", "rejected", "failed")]
+    rows += latency_rows("latency", requests["latency"])
+    rows += latency_rows("latency added by the gateway", requests["added_latency"])
+    rows.append(("counter calls", result.measured["counter_calls"]))
+    title = f"{options['gateways']} gateways, {options['customers']} customers, {options['seconds']:g} s"
     print_run(console, result, make_table(title, ["requests", ""], rows))
+
+
+def latency_rows(title: str, latency: LatencySummary) -> list[tuple[str, str]]:
+    """Return the rows of a latency: the median and the 99th percentile."""
+    return [
+        (f"{title}, p50", f"{latency['p50_ms']:.2f} ms"),
+        (f"{title}, p99", f"{latency['p99_ms']:.2f} ms"),
+    ]
--- a/scale/resp.py
+++ b/scale/resp.py
@@ -5,6 +5,8 @@
 
 from __future__ import annotations
 
+from .errors import ProtocolError
+
 CRLF = b"\r\n"
 
 
@@ -35,13 +37,14 @@
     """Return the first command and where it ends, or None while it is incomplete.
 
     Raises:
-        ValueError: the data is no command.
+        ProtocolError: the data is not a command.
     """
     head_end = data.find(CRLF)
     if head_end < 0:
         return None
     if not data.startswith(b"*"):
-        raise ValueError("not a command")
+        found = data[:head_end].decode(errors="replace")
+        raise ProtocolError(f"expected a RESP command (an array) from a gateway, got {found!r}")
     arguments = []
     position = head_end + len(CRLF)
     for _ in range(int(data[1:head_end])):
--- a/scale/result.py
+++ b/scale/result.py
@@ -5,7 +5,7 @@
 import json
 import os
 import tempfile
-from collections.abc import Sequence
+from collections.abc import Mapping
 from dataclasses import asdict, dataclass, field
 from pathlib import Path
 from string import ascii_uppercase
@@ -13,82 +13,105 @@
 
 from .checkout import describe_commit
 from .errors import RunError, UsageError
+from .figures import LatencySummary
 from .machine import describe_machine
+from .run_options import RunOptions
 
 MAX_LAG_P99_MS = 20.0
-"""Fakes that run later than this at the 99th percentile have measured themselves."""
+"""Timer lag of a fake service, at the 99th percentile, above which a run has no verdict."""
 
 MAX_LAG_MS = 250.0
-"""Likewise, of the latest timer."""
+"""Timer lag of a fake service, at most, above which a run has no verdict."""
 
 NO_GOALS = "no goal figure was measured"
 
 
-@dataclass
+@dataclass(kw_only=True)
 class Goal:
-    """A figure that a run is compared with: met where what was measured is no more than `most`."""
+    """A limit for a figure: met where the measured value does not exceed it."""
 
-    what: str
+    name: str
     unit: str
-    most: float
-    measured: float | None  # None: this run did not measure it
-    cut_short: bool = False  # it took at least what was measured, and was not waited for
+    limit: float
+    measured: float | None
+    """None: this run did not measure it."""
+
+    is_lower_bound: bool = False
+    """The measurement timed out, so the true value is at least the measured one."""
 
     @property
-    def met(self) -> bool | None:
+    def is_met(self) -> bool | None:
         """Whether the goal is met; None where it was not measured."""
         if self.measured is None:
             return None
-        return self.measured <= self.most and not self.cut_short
+        return self.measured <= self.limit and not self.is_lower_bound
+
+    def as_dict(self) -> dict[str, Any]:
+        """Return the goal as it goes into the JSON file."""
+        return {**asdict(self), "is_met": self.is_met}
 
 
-@dataclass
+@dataclass(kw_only=True)
 class Result:
-    """What a run gave. `lags` are the fakes' own delays, by service and phase."""
+    """What a run measured, and under which conditions."""
 
     scenario: str
-    asked: dict[str, Any]
-    programs: dict[str, str]  # the checkouts that are measured, and their commits
+    options: dict[str, Any]
+    programs: dict[str, str]
+    """Commits of the measured checkouts, by folder."""
+
+    machine: dict[str, Any]
     measured: dict[str, Any] = field(default_factory=dict)
-    goals: dict[str, list[Goal]] = field(default_factory=dict)  # by the checkout they were measured on
-    lags: dict[str, dict[str, float]] = field(default_factory=dict)
-    machine: dict[str, Any] = field(default_factory=dict)
+    goals: dict[str, list[Goal]] = field(default_factory=dict)
+    """Goals by the checkout that they were measured on."""
+
+    lags: dict[str, LatencySummary] = field(default_factory=dict)
+    """Timer lag of the fake services and clients, by service and phase."""
 
     @classmethod
-    def begin(cls, scenario: str, asked: Any, programs: Sequence[str]) -> Result:
-        """Return the result of a run that begins; `asked` is the scenario's dataclass."""
-        commits = {program: describe_commit(program) for program in programs}
-        return cls(scenario, asdict(asked), commits, machine=describe_machine())
+    def begin(cls, scenario: str, options: RunOptions) -> Result:
+        """Return the result of a run that begins."""
+        return cls(
+            scenario=scenario,
+            options=asdict(options),
+            programs={program: describe_commit(program) for program in options.programs},
+            machine=describe_machine(),
+        )
 
     def label(self, program: str) -> str:
-        """Return the letter that tells a checkout from the others in a table; nothing where it is alone."""
+        """Return the letter that stands for a checkout in tables; empty where it is the only one."""
         if len(self.programs) == 1:
             return ""
         return f" {ascii_uppercase[list(self.programs).index(program)]}"
 
-    def note_lag(self, phase: str, lag: dict[str, float]) -> None:
-        """Note how late a fake ran; of several notes under one name the largest values count."""
+    def note_lag(self, phase: str, lag: LatencySummary) -> None:
+        """Note the timer lag of a fake; of several notes for one phase the largest values count."""
         known = self.lags.get(phase, lag)
-        self.lags[phase] = {name: max(value, known[name]) for name, value in lag.items()}
+        self.lags[phase] = {
+            "count": max(known["count"], lag["count"]),
+            "p50_ms": max(known["p50_ms"], lag["p50_ms"]),
+            "p99_ms": max(known["p99_ms"], lag["p99_ms"]),
+            "max_ms": max(known["max_ms"], lag["max_ms"]),
+        }
 
     def why_no_verdict(self) -> str:
-        """Return why nothing may be concluded; empty where something may."""
+        """Return why the run has no verdict; empty where it has one."""
         late = [
             f"{phase} ran late: {lag['p99_ms']:g} ms at the 99th percentile, {lag['max_ms']:g} ms at most"
             for phase, lag in self.lags.items()
             if lag["p99_ms"] > MAX_LAG_P99_MS or lag["max_ms"] > MAX_LAG_MS
         ]
         if late:
-            return f"{'; '.join(late)} (bounds {MAX_LAG_P99_MS:g} and {MAX_LAG_MS:g} ms)"
-        if all(goal.met is None for goal in self._all_goals()):
+            return f"{'; '.join(late)} (limits {MAX_LAG_P99_MS:g} and {MAX_LAG_MS:g} ms)"
+        if all(goal.is_met is None for goal in self._all_goals()):
             return NO_GOALS
         return ""
 
     def verdict(self) -> str | None:
-        """Return `met` or `not met`, over all measured goals; None where nothing may be concluded."""
+        """Return `met` or `not met`, over all measured goals; None where the run has no verdict."""
         if self.why_no_verdict():
             return None
-        return "not met" if any(goal.met is False for goal in self._all_goals()) else "met"
+        return "not met" if any(goal.is_met is False for goal in self._all_goals()) else "met"
 
     def _all_goals(self) -> list[Goal]:
         return [goal for goals in self.goals.values() for goal in goals]
@@ -97,20 +120,22 @@
         """Return the result as it goes into the JSON file."""
         return {
             "scenario": self.scenario,
-            "asked": self.asked,
+            "options": self.options,
             "programs": self.programs,
             "machine": self.machine,
             "measured": self.measured,
-            "goals": {
-                program: [{**vars(goal), "met": goal.met} for goal in goals]
-                for program, goals in self.goals.items()
-            },
-            "standins": self.lags,
+            "goals": goals_as_dict(self.goals),
+            "timer_lag": self.lags,
             "verdict": self.verdict(),
             "reason": self.why_no_verdict(),
         }
 
 
+def goals_as_dict(goals: Mapping[str, list[Goal]]) -> dict[str, list[dict[str, Any]]]:
+    """Return goals by checkout as they go into the JSON file."""
+    return {program: [goal.as_dict() for goal in of_program] for program, of_program in goals.items()}
+
+
 class ResultFile:
     """The JSON file of a run, checked before the run begins."""
 
@@ -121,12 +146,8 @@
             UsageError: the file cannot be written.
         """
         self._path = Path(path) if path else None
-        if self._path is None:
-            return
-        try:
+        if self._path is not None:
             check_writable(self._path)
-        except OSError as error:
-            raise UsageError(f"--json {path}: cannot be written ({error})") from error
 
     def write(self, result: Result) -> None:
         """Write the result.
@@ -139,18 +160,21 @@
         try:
             self._path.write_text(json.dumps(result.as_dict(), indent=1) + "\n")
         except OSError as error:
-            raise RunError(f"{self._path} could not be written: {error}") from error
+            raise RunError(f"the result cannot be written to {self._path}: {error}") from error
 
 
 def check_writable(path: Path) -> None:
-    """Check that a file can be written, without writing it.
+    """Check that a result file can be written, without writing it.
 
     Raises:
-        OSError: it cannot.
+        UsageError: it cannot.
     """
     if path.is_dir():
-        raise IsADirectoryError(f"{path} is a folder")
-    with tempfile.TemporaryFile(dir=path.parent):
-        pass
+        raise UsageError(f"--json {path}: cannot be written, it is a folder")
     if path.exists() and not os.access(path, os.W_OK):
-        raise PermissionError(f"{path} is read-only")
+        raise UsageError(f"--json {path}: cannot be written, the file is read-only")
+    try:
+        with tempfile.TemporaryFile(dir=path.parent):
+            pass
+    except OSError as error:
+        raise UsageError(f"--json {path}: cannot be written ({error})") from error
--- a/scale/supervisor.py
+++ b/scale/supervisor.py
@@ -1,10 +1,10 @@
-"""The worker processes of a run: started, called and ended by the leading process."""
+"""The worker processes of a run: started, called and stopped by the leading process."""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
-import json
+import itertools
 import os
 import sys
 import tempfile
@@ -15,41 +15,41 @@
 import psutil
 
 from .errors import CallTimeoutError, RunError
-from .worker import MAX_LINE_BYTES
+from .worker_protocol import MAX_LINE_BYTES, WorkerCall, WorkerResponse
 
 PACKAGE_ROOT = Path(__file__).resolve().parents[1]
 """The folder that the package `scale` lies in."""
 
 EXIT_TIMEOUT_S = 5.0
-"""How long a worker may take to exit by itself before it is killed."""
+"""How long a worker may take to exit after its input has closed, before it is killed."""
 
 CALL_TIMEOUT_S = 120.0
-"""How long a call may take where the caller says nothing: enough for a start on a crowded machine."""
+"""How long a call may take by default: enough for a start on a busy machine."""
 
 
 class WorkerProcess:
     """One process with a role of `scale.worker`."""
 
     def __init__(self, role: str, process: asyncio.subprocess.Process, stderr: IO[bytes]) -> None:
-        self.role = role
-        self.process = process
         self.pid = process.pid
+        self._role = role
+        self._process = process
         self._stderr = stderr
         self._pending_calls: dict[int, asyncio.Future[Any]] = {}
-        self._last_call_id = 0
-        self._reader_task = asyncio.get_running_loop().create_task(self._read_answers())
-
-    async def _read_answers(self) -> None:
-        assert self.process.stdout is not None
-        while line := await self.process.stdout.readline():
-            answer = json.loads(line)
-            pending = self._pending_calls.pop(answer["id"], None)
+        self._call_ids = itertools.count(1)
+        self._reader_task = asyncio.get_running_loop().create_task(self._read_responses())
+
+    async def _read_responses(self) -> None:
+        assert self._process.stdout is not None
+        while line := await self._process.stdout.readline():
+            response = WorkerResponse.decode(line)
+            pending = self._pending_calls.pop(response.call_id, None)
             if pending is None or pending.done():
                 continue
-            if "error" in answer:
-                pending.set_exception(RunError(f"{self.role}: {answer['error']}"))
+            if response.error is None:
+                pending.set_result(response.result)
             else:
-                pending.set_result(answer["result"])
+                pending.set_exception(RunError(f"worker {self._role} failed: {response.error}"))
         for pending in self._pending_calls.values():
             if not pending.done():
                 pending.set_exception(self._exit_error())
@@ -57,50 +57,60 @@
     def _exit_error(self) -> RunError:
         self._stderr.seek(0)
         lines = self._stderr.read().decode(errors="replace").strip().splitlines()
-        return RunError(f"{self.role} ended: {lines[-1] if lines else 'it said nothing'}")
+        last_line = lines[-1] if lines else "(it wrote nothing)"
+        return RunError(f"worker {self._role} exited, last line of its standard error: {last_line}")
 
     async def call(self, method: str, *, timeout_s: float = CALL_TIMEOUT_S, **arguments: Any) -> Any:
         """Call a method of the role and return its result.
 
         Raises:
             RunError: the method failed, or the process exited.
-            CallTimeoutError: there was no answer within `timeout_s`.
+            CallTimeoutError: there was no response within `timeout_s`.
         """
         if self._reader_task.done():
             raise self._exit_error()
-        assert self.process.stdin is not None
-        self._last_call_id += 1
-        call_id = self._last_call_id
-        pending = self._pending_calls[call_id] = asyncio.get_running_loop().create_future()
-        call = {"id": call_id, "method": method, "arguments": arguments}
-        self.process.stdin.write(json.dumps(call).encode() + b"\n")
+        assert self._process.stdin is not None
+        call = WorkerCall(call_id=next(self._call_ids), method=method, arguments=arguments)
+        pending = self._pending_calls[call.call_id] = asyncio.get_running_loop().create_future()
+        self._process.stdin.write(call.encode())
         try:
             async with asyncio.timeout(timeout_s):
                 return await pending
-        except TimeoutError:
-            raise CallTimeoutError(f"{self.role}: {method} not done within {timeout_s:g} s") from None
+        except TimeoutError as error:
+            message = f"worker {self._role} did not respond to {method} within {timeout_s:g} s"
+            raise CallTimeoutError(message) from error
         finally:
-            self._pending_calls.pop(call_id, None)
+            self._pending_calls.pop(call.call_id, None)
+
+    async def call_lasting(self, duration_s: float, method: str, /, **arguments: Any) -> Any:
+        """Call a method that takes `duration_s` by itself; the time-out comes on top of that."""
+        return await self.call(method, timeout_s=duration_s + CALL_TIMEOUT_S, **arguments)
 
     async def stop(self) -> None:
         """Close the worker's input, wait for its exit, and kill what is left of it and of its children."""
-        descendants: list[psutil.Process] = []
+        descendants = self._descendants()
+        assert self._process.stdin is not None
+        self._process.stdin.close()
+        await self._wait_for_exit()
+        for descendant in descendants:
+            with contextlib.suppress(psutil.Error):
+                descendant.kill()
+        await self._reader_task
+        self._stderr.close()
+
+    def _descendants(self) -> list[psutil.Process]:
         with contextlib.suppress(psutil.Error):
-            descendants = psutil.Process(self.pid).children(recursive=True)
-        assert self.process.stdin is not None
-        self.process.stdin.close()
+            return psutil.Process(self.pid).children(recursive=True)
+        return []
+
+    async def _wait_for_exit(self) -> None:
         try:
             async with asyncio.timeout(EXIT_TIMEOUT_S):
-                await self.process.wait()
+                await self._process.wait()
         except TimeoutError:
             with contextlib.suppress(ProcessLookupError):
-                self.process.kill()
-            await self.process.wait()
-        for process in descendants:
-            with contextlib.suppress(psutil.Error):
-                process.kill()
-        await self._reader_task
-        self._stderr.close()
+                self._process.kill()
+            await self._process.wait()
 
 
 class Supervisor:
@@ -111,7 +121,7 @@
 
     async def start(self, role: str, checkout: Path | None = None) -> WorkerProcess:
         """Start a worker; one that measures imports the program from the folder `checkout`."""
-        stderr = tempfile.TemporaryFile()  # noqa: SIM115 - the worker owns it, and closes it at its end
+        stderr = tempfile.TemporaryFile()  # noqa: SIM115 - the worker owns it, and closes it in `stop`
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-P",
@@ -120,12 +130,12 @@
             role,
             *([str(checkout)] if checkout else []),
             cwd=checkout or PACKAGE_ROOT,
-            # No compiled files: a checkout that is measured is not written to.
+            # No compiled files: a run must not write to the checkout that it measures.
             env={**os.environ, "PYTHONPATH": str(PACKAGE_ROOT), "PYTHONDONTWRITEBYTECODE": "1"},
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
             stderr=stderr,
-            start_new_session=True,  # Ctrl-C reaches the leading process alone, which ends all in order
+            start_new_session=True,  # Ctrl-C reaches the leading process alone, which stops all in order
             limit=MAX_LINE_BYTES,
         )
         worker = WorkerProcess(role, process, stderr)
--- a/scale/tables.py
+++ b/scale/tables.py
@@ -2,14 +2,19 @@
 
 from __future__ import annotations
 
-from collections.abc import Sequence
+from collections.abc import Mapping, Sequence
 
 from rich.console import Console
 from rich.table import Table
 
+from .figures import RepeatSummary
 from .result import NO_GOALS, Result
 
-GOAL_MET_WORDS = {True: "yes", False: "NO", None: "-"}
+GOAL_STATUS_LABELS: Mapping[bool | None, str] = {True: "yes", False: "NO", None: "-"}
+"""What the column of met goals shows; None is a goal that was not measured."""
+
+LARGE_VALUE = 1000
+"""Floating-point values from here on are shown as whole numbers."""
 
 
 def format_value(value: object) -> str:
@@ -17,14 +22,16 @@
     if value is None:
         return "-"
     if isinstance(value, float):
-        return f"{value:,.0f}" if abs(value) >= 1000 else f"{value:.3g}"
+        return f"{value:,.0f}" if abs(value) >= LARGE_VALUE else f"{value:.3g}"
     return f"{value:,}" if isinstance(value, int) else str(value)
 
 
-def format_summary(summary: dict[str, float]) -> str:
-    """Return a median, with the least and the most beside it where they differ."""
-    median, least, most = (format_value(summary[name]) for name in ("median", "min", "max"))
-    return median if summary["min"] == summary["max"] else f"{median} ({least} to {most})"
+def format_summary(summary: RepeatSummary) -> str:
+    """Return a median, with the least and the greatest value beside it where they differ."""
+    median = format_value(summary["median"])
+    if summary["min"] == summary["max"]:
+        return median
+    return f"{median} ({format_value(summary['min'])} to {format_value(summary['max'])})"
 
 
 def make_table(title: str, columns: Sequence[str], rows: Sequence[Sequence[object]]) -> Table:
@@ -37,20 +44,38 @@
     return table
 
 
-def print_run(console: Console, result: Result, *tables: Table) -> None:
-    """Print the tables of a run, its goals, and its verdict or why there is none."""
-    for program, commit in result.programs.items():
-        console.print(f"Program{result.label(program)}: {program} {commit}".rstrip())
-    for table in tables:
-        console.print(table)
+def goals_table(result: Result) -> Table | None:
+    """Return the table of the measured goals, None where there is none."""
     rows = [
-        (goal.what + result.label(program), goal.unit, goal.most, goal.measured, GOAL_MET_WORDS[goal.met])
+        (
+            goal.name + result.label(program),
+            goal.unit,
+            goal.limit,
+            goal.measured,
+            GOAL_STATUS_LABELS[goal.is_met],
+        )
         for program, goals in result.goals.items()
         for goal in goals
         if goal.measured is not None
     ]
-    if rows:
-        console.print(make_table("Goals", ["goal", "unit", "at most", "measured", "met"], rows))
+    return make_table("Goals", ["goal", "unit", "at most", "measured", "met"], rows) if rows else None
+
+
+def verdict_line(result: Result) -> str | None:
+    """Return the verdict or why there is none; None where the run measured no goal."""
     reason = result.why_no_verdict()
-    if reason != NO_GOALS:
-        console.print(f"No verdict: {reason}." if reason else f"Verdict: {result.verdict()}.")
+    if reason == NO_GOALS:
+        return None
+    return f"No verdict: {reason}." if reason else f"Verdict: {result.verdict()}."
+
+
+def print_run(console: Console, result: Result, *tables: Table) -> None:
+    """Print the measured checkouts, the tables of a run, its goals and its verdict."""
+    for program, commit in result.programs.items():
+        console.print(f"Program{result.label(program)}: {program} {commit}".rstrip())
+    for table in tables:
+        console.print(table)
+    if (goals := goals_table(result)) is not None:
+        console.print(goals)
+    if (verdict := verdict_line(result)) is not None:
+        console.print(verdict)
--- a/scale/worker.py
+++ b/scale/worker.py
@@ -1,29 +1,26 @@
 """A worker process of a run: `python -m scale.worker ROLE [FOLDER OF THE PROGRAM]`.
 
-It reads calls as JSON lines from standard input, answers each on standard output, and exits when its input
-closes: nothing of a run outlives the process that leads it.
+It reads calls from standard input, responds to each on standard output, and exits when its input closes:
+nothing of a run outlives the process that leads it.
 """
 
 from __future__ import annotations
 
 import asyncio
 import importlib
-import json
 import os
 import sys
 import traceback
-from typing import Any, Protocol, cast
+from typing import Protocol, cast
 
 import uvloop
 
 from .checkout import check_import_origin, prefer_checkout
-
-MAX_LINE_BYTES = 256 * 1024 * 1024
-"""Longest call or answer, in bytes: a fleet's figures for a thousand changes come in one line."""
+from .worker_protocol import MAX_LINE_BYTES, WorkerCall, WorkerResponse
 
 ROLES = {
     "fakes": "scale.fakes.worker:FakeServicesWorker",
-    "load": "scale.load_generator:LoadGenerator",
+    "clients": "scale.load_generator:LoadGenerator",
     "launcher": "scale.gateway_launcher:GatewayLauncher",
     "hollow": "scale.hollow_fleet:HollowFleet",
     "measured": "scale.measured_gateway:MeasuredGateway",
@@ -44,21 +41,31 @@
     return cast(Role, getattr(importlib.import_module(module), class_name)())
 
 
-async def answer_call(role: Role, call: dict[str, Any], output: int) -> None:
-    """Carry out one call and write its result, or its error, to the file descriptor `output`."""
+async def execute_call(role: Role, call: WorkerCall) -> bytes:
+    """Carry out a call; return the line of its response, whether it succeeded or failed."""
     try:
-        result = await getattr(role, call["method"])(**call["arguments"])
-        text = json.dumps({"id": call["id"], "result": result})
+        result = await getattr(role, call.method)(**call.arguments)
+        return WorkerResponse(call_id=call.call_id, result=result).encode()
     except Exception as error:
         traceback.print_exc()
-        text = json.dumps({"id": call["id"], "error": f"{type(error).__name__}: {error}"})
-    unwritten = memoryview(text.encode() + b"\n")
+        return WorkerResponse(call_id=call.call_id, error=f"{type(error).__name__}: {error}").encode()
+
+
+def write_all(descriptor: int, data: bytes) -> None:
+    """Write all bytes to a blocking file descriptor."""
+    unwritten = memoryview(data)
     while unwritten:
-        unwritten = unwritten[os.write(output, unwritten) :]
+        written = os.write(descriptor, unwritten)
+        unwritten = unwritten[written:]
+
+
+async def respond(role: Role, call: WorkerCall, output: int) -> None:
+    """Carry out a call and write its response to the file descriptor `output`."""
+    write_all(output, await execute_call(role, call))
 
 
 async def serve_calls(role_name: str, output: int) -> None:
-    """Answer calls, concurrently, until standard input closes."""
+    """Carry out calls, concurrently, until standard input closes."""
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
@@ -66,7 +73,7 @@
     tasks: set[asyncio.Task[None]] = set()
     try:
         while line := await reader.readline():
-            task = loop.create_task(answer_call(role, json.loads(line), output))
+            task = loop.create_task(respond(role, WorkerCall.decode(line), output))
             tasks.add(task)
             task.add_done_callback(tasks.discard)
     finally:
@@ -78,8 +85,8 @@
 def main(argv: list[str]) -> int:
     """Run the role that `argv` names, on the checkout that may follow it."""
     role_name, *folder = argv
-    output = os.dup(1)
-    os.dup2(2, 1)  # what the program prints must not be taken for an answer
+    output = os.dup(sys.stdout.fileno())
+    os.dup2(sys.stderr.fileno(), sys.stdout.fileno())  # output of the program must not mix with responses
     if folder:
         prefer_checkout(folder[0])
         importlib.import_module(ROLES[role_name].partition(":")[0])
--- /dev/null
+++ b/tests/scale/scale_process.py
@@ -0,0 +1,131 @@
+"""Runs `python -m scale` in a process of its own, and finds every process that it leaves."""
+
+from __future__ import annotations
+
+import contextlib
+import json
+import os
+import signal
+import subprocess
+import sys
+import time
+import uuid
+from collections.abc import Iterator, Mapping
+from functools import partial
+from pathlib import Path
+from types import MappingProxyType
+from typing import Any, NamedTuple
+
+import psutil
+
+ROOT = Path(__file__).parents[2]
+"""The checkout of the program that the tests belong to."""
+
+RUN_ID_VARIABLE = "SCALE_TEST_RUN_ID"
+"""Environment variable that all processes of a run inherit."""
+
+READY_LINE = "ready: "
+"""Beginning of the progress line that a run prints once all its processes are up."""
+
+POLL_INTERVAL_S = 0.02
+
+SignalDispositions = Mapping[signal.Signals, signal.Handlers]
+"""How a process treats signals: by default, or not at all."""
+
+INHERITED_AS_IS: SignalDispositions = MappingProxyType({})
+
+
+class RunOutput(NamedTuple):
+    """What a run printed."""
+
+    stdout: str
+    stderr: str
+
+
+class CompletedRun(NamedTuple):
+    """The JSON result of a complete run, and what it printed."""
+
+    result: dict[str, Any]
+    stdout: str
+
+
+class ScaleProcess:
+    """`python -m scale`, and the processes that it started."""
+
+    def __init__(self, *args: str, dispositions: SignalDispositions) -> None:
+        self._run_id = uuid.uuid4().hex
+        self._process = subprocess.Popen(
+            [sys.executable, "-m", "scale", *args],
+            cwd=ROOT,
+            env={**os.environ, RUN_ID_VARIABLE: self._run_id},
+            stdout=subprocess.PIPE,
+            stderr=subprocess.PIPE,
+            text=True,
+            preexec_fn=partial(set_dispositions, dispositions),
+        )
+
+    @property
+    def exit_status(self) -> int | None:
+        """Exit status of the leading process, None while it runs."""
+        return self._process.returncode
+
+    def live_processes(self) -> list[psutil.Process]:
+        """Return all live processes of the run, whichever process started them."""
+        found = []
+        for process in psutil.process_iter():
+            with contextlib.suppress(psutil.Error):
+                if process.environ().get(RUN_ID_VARIABLE) == self._run_id:
+                    found.append(process)
+        return found
+
+    def wait_until_ready(self) -> list[psutil.Process]:
+        """Wait until all processes are up, and return them."""
+        assert self._process.stderr is not None
+        assert any(line.startswith(READY_LINE) for line in self._process.stderr)
+        return self.live_processes()
+
+    def wait_until_gone(self) -> None:
+        """Wait until no process is left; the test's time-out ends a wait in vain."""
+        while self.live_processes():
+            time.sleep(POLL_INTERVAL_S)
+
+    def send_signal(self, signum: signal.Signals) -> None:
+        """Send a signal to the leading process alone."""
+        self._process.send_signal(signum)
+
+    def finish(self) -> RunOutput:
+        """Wait until the leading process exits, and return what it printed."""
+        return RunOutput(*self._process.communicate())
+
+    def kill_all(self) -> None:
+        """Kill what is left of the run."""
+        for process in self.live_processes():
+            with contextlib.suppress(psutil.Error):
+                process.kill()
+        self._process.wait()
+
+
+def set_dispositions(dispositions: SignalDispositions) -> None:
+    """Set how this process treats signals; the program that it executes next inherits that."""
+    for signum, disposition in dispositions.items():
+        signal.signal(signum, disposition)
+
+
+@contextlib.contextmanager
+def start_scale(*args: str, dispositions: SignalDispositions = INHERITED_AS_IS) -> Iterator[ScaleProcess]:
+    """Start a run, which inherits these dispositions of signals; kill what is left of it afterwards."""
+    run = ScaleProcess(*args, dispositions=dispositions)
+    try:
+        yield run
+    finally:
+        run.kill_all()
+
+
+def complete_run(folder: Path, *args: str) -> CompletedRun:
+    """Run a scenario to its end; check that it succeeds and leaves no process."""
+    file = folder / "result.json"
+    with start_scale(*args, "--json", str(file)) as run:
+        output = run.finish()
+        assert run.exit_status == 0, output.stderr
+        assert not run.live_processes()
+    return CompletedRun(json.loads(file.read_text()), output.stdout)
--- /dev/null
+++ b/tests/scale/test_customers.py
@@ -0,0 +1,19 @@
+"""The customers of a fleet."""
+
+from __future__ import annotations
+
+import pytest
+
+from scale.customers import CustomerPopulation, Customers
+
+
+@pytest.mark.parametrize("gateway", range(10))
+def test_customers_come_to_gateways_of_their_sets_only(gateway: int) -> None:
+    population = CustomerPopulation(count=1_000, gateways=10, gateways_per_customer=3, seed=1)
+    customers = Customers(population)
+
+    picked = {customers.pick(gateway) for _ in range(2_000)}
+
+    assert all((gateway - customer.first_gateway) % 10 < 3 for customer in picked)
+    assert all(customer.number % 10 == customer.first_gateway for customer in picked)
+    assert len(picked) == pytest.approx(300, abs=5)
--- a/tests/scale/test_scale.py
+++ b/tests/scale/test_scale.py
@@ -1,39 +1,30 @@
-"""The scale runs: what a run gives, what it rejects, and that no process of it is left."""
+"""Complete scale runs: what they measure, what they reject, and that they leave no process."""
 
 from __future__ import annotations
 
-import contextlib
-import json
-import os
 import shlex
 import shutil
 import signal
-import subprocess
-import sys
-import time
-import uuid
-from collections.abc import Iterator, Mapping
-from functools import partial
 from pathlib import Path
-from types import MappingProxyType
-from typing import Any
+from typing import Any, NamedTuple
 
-import psutil
 import pytest
 
-from scale.customers import Customers
-from scale.fakes.endpoint_list import SyntheticEndpointList
-from scale.result import Goal, Result
+from tests.scale.scale_process import ROOT, CompletedRun, complete_run, start_scale
 
-ROOT = Path(__file__).parents[2]
 FLEET = shlex.split(
     "fleet --hollow 4 --processes 2 --real 1 --backends 40 --seconds 0.5 --bursts 20 --window 0.5"
-    " --customers 1000 --spread 3,30 --fleet 100 --rate 50"
+    " --customers 1000 --gateways-per-customer 3,30 --fleet 100 --rate 50"
 )
 CONTROL = shlex.split(
-    "control --backends 40 --customers 1000 --fleet 10 --alone 2 --burst 5 --steady 0.2 --repeats 1"
+    "control --backends 40 --customers 1000 --fleet 10 --single-changes 2 --burst 5 --steady 0.2 --repeats 1"
     " --changes 10"
 )
+LONG_QUICKSTART = ("quickstart", "--seconds", "600")
+
+QUICKSTART_PROCESSES = 9
+"""The leading process, three of fakes, the clients, the launcher and its three gateways."""
+
 SLOWER_DISPATCHER = """
 
 apply_endpoints = Dispatcher.on_endpoints
@@ -48,112 +39,88 @@
 """
 
 
-def set_dispositions(dispositions: Mapping[signal.Signals, signal.Handlers]) -> None:
-    """Set how this process treats signals; what it executes inherits this."""
-    for signum, disposition in dispositions.items():
-        signal.signal(signum, disposition)
-
-
-class ScaleProcess:
-    """`python -m scale`, and the processes that bear its mark."""
-
-    def __init__(self, *args: str, dispositions: Mapping[signal.Signals, signal.Handlers]) -> None:
-        """`dispositions` are those of signals that the run inherits, whatever this process has."""
-        self.mark = uuid.uuid4().hex
-        self.process = subprocess.Popen(
-            [sys.executable, "-m", "scale", *args],
-            cwd=ROOT,
-            env={**os.environ, "SCALE_TEST_MARK": self.mark},
-            stdout=subprocess.PIPE,
-            stderr=subprocess.PIPE,
-            text=True,
-            preexec_fn=partial(set_dispositions, dispositions),
-        )
-
-    def living(self) -> list[psutil.Process]:
-        """All processes of the run that live, however they came to be."""
-        found = []
-        for process in psutil.process_iter():
-            with contextlib.suppress(psutil.Error):
-                if process.environ().get("SCALE_TEST_MARK") == self.mark:
-                    found.append(process)
-        return [process for process in found if process.pid != os.getpid()]
-
-    def wait_until_up(self) -> list[psutil.Process]:
-        """Wait for the line that says that all is up; returns the processes."""
-        assert self.process.stderr is not None
-        assert any(line.startswith("all is up") for line in self.process.stderr)
-        return self.living()
-
-    def wait_until_gone(self) -> None:
-        """Wait until nothing is left; the test's time limit ends a vain wait."""
-        while self.living():
-            time.sleep(0.02)
-
-    def finish(self) -> tuple[str, str]:
-        out, errors = self.process.communicate()
-        return out, errors
-
-
-@contextlib.contextmanager
-def started(
-    *args: str, dispositions: Mapping[signal.Signals, signal.Handlers] = MappingProxyType({})
-) -> Iterator[ScaleProcess]:
-    run = ScaleProcess(*args, dispositions=dispositions)
-    try:
-        yield run
-    finally:
-        for process in run.living():
-            with contextlib.suppress(psutil.Error):
-                process.kill()
-        run.process.wait()
-
-
-def result_of(folder: Path, *args: str) -> tuple[dict[str, Any], str]:
-    """A whole run's result and what it printed; nothing of it may be left at its end."""
-    file = folder / "result.json"
-    with started(*args, "--json", str(file)) as run:
-        out, errors = run.finish()
-        assert run.process.returncode == 0, errors
-        assert not run.living()
-    result: dict[str, Any] = json.loads(file.read_text())
-    return result, out
-
-
-def test_a_fleet_serves_and_all_gateways_apply_each_change(tmp_path: Path) -> None:
-    result, output = result_of(tmp_path, *FLEET)
-
-    (measured,) = result["measured"].values()
-    assert set(measured["in_force"]) == {"even changes", "burst of 20"}
-    for case in measured["in_force"].values():
-        assert case["gateways"] == 4
-        assert case["changes"] > 0
-        assert case["missing"] == 0
-        assert 0 < case["half_ms"]["median"] <= case["slowest_ms"]["max"]
-    assert all(case["served"] > 0 for case in measured["requests"].values())
-    leased, shared = measured["counter"].values()
-    assert leased["calls_a_request"] > 0
-    assert shared["calls_a_request"] > 0
+@pytest.fixture(scope="module")
+def fleet_run(tmp_path_factory: pytest.TempPathFactory) -> CompletedRun:
+    return complete_run(tmp_path_factory.mktemp("fleet"), *FLEET)
+
+
+@pytest.fixture(scope="module")
+def fleet_figures(fleet_run: CompletedRun) -> dict[str, Any]:
+    (measured,) = fleet_run.result["measured"].values()
+    assert isinstance(measured, dict)
+    return measured
+
+
+def test_each_phase_of_a_fleet_with_changes_measures_their_propagation(fleet_figures: dict[str, Any]) -> None:
+    assert set(fleet_figures["propagation"]) == {"steady changes", "burst of 20"}
+
+
+@pytest.mark.parametrize("phase", ["steady changes", "burst of 20"])
+def test_all_gateways_of_a_fleet_apply_each_change(fleet_figures: dict[str, Any], phase: str) -> None:
+    propagation = fleet_figures["propagation"][phase]
+
+    assert propagation["gateways"] == 4
+    assert propagation["changes"] > 0
+    assert propagation["missing"] == 0
+    assert 0 < propagation["p50_ms"]["median"] <= propagation["max_ms"]["max"]
+
+
+def test_a_fleet_serves_requests_in_all_phases(fleet_figures: dict[str, Any]) -> None:
+    assert fleet_figures["requests"]
+    assert all(phase["served"] > 0 for phase in fleet_figures["requests"].values())
+
+
+def test_a_fleet_calls_the_counter_for_local_leases_and_for_shared_buckets(
+    fleet_figures: dict[str, Any],
+) -> None:
+    leased, shared = fleet_figures["counter"].values()
+
+    assert leased["calls_per_request"] > 0
+    assert shared["calls_per_request"] > 0
     assert leased["served"] > 0
     assert shared["served"] > 0
-    assert result["verdict"] in ("met", "not met", None)
-    assert "at 99 in 100" in output
+
+
+def test_a_fleet_run_has_a_verdict_unless_its_fakes_were_late(fleet_run: CompletedRun) -> None:
+    assert fleet_run.result["verdict"] in ("met", "not met", None)
+
+
+def test_a_fleet_run_prints_percentiles_of_the_propagation(fleet_run: CompletedRun) -> None:
+    assert "p99 of gateways" in fleet_run.stdout
 
 
 def test_fakes_that_ran_late_give_no_verdict(tmp_path: Path) -> None:
-    result, output = result_of(tmp_path, *FLEET, "--stall", "400")
+    run = complete_run(tmp_path, *FLEET, "--stall", "400")
+
+    (goals,) = run.result["goals"].values()
+    assert goals[0]["is_met"] is not None
+    assert run.result["verdict"] is None
+    assert "ran late" in run.result["reason"]
+    assert "No verdict" in run.stdout
+
 
-    (goals,) = result["goals"].values()
-    assert goals[0]["met"] is not None
-    assert result["verdict"] is None
-    assert "ran late" in result["reason"]
-    assert "No verdict" in output
+class Comparison(NamedTuple):
+    """A control run of this checkout and of a slower one."""
 
+    run: CompletedRun
+    slower_checkout: Path
 
-@pytest.fixture
-def slower_checkout(tmp_path: Path) -> Path:
-    """A copy of the program that takes much longer over each change of the list."""
-    checkout = tmp_path / "other"
+    def figures(self, checkout: Path) -> dict[str, Any]:
+        """Return what a checkout took at the one size of list."""
+        figures: dict[str, Any] = self.run.result["measured"][str(checkout)]["40"]
+        return figures
+
+
+@pytest.fixture(scope="module")
+def comparison(tmp_path_factory: pytest.TempPathFactory) -> Comparison:
+    folder = tmp_path_factory.mktemp("control")
+    slower_checkout = copy_slower_checkout(folder / "other")
+    run = complete_run(folder, *CONTROL, "--program", str(ROOT), "--program", str(slower_checkout))
+    return Comparison(run, slower_checkout)
+
+
+def copy_slower_checkout(checkout: Path) -> Path:
+    """Copy the program to a checkout that takes much longer over each change of the endpoint list."""
     ignored = shutil.ignore_patterns("__pycache__")
     shutil.copytree(ROOT / "gateway", checkout / "gateway", ignore=ignored)
     dispatcher = checkout / "gateway" / "network" / "dispatcher.py"
@@ -161,19 +128,34 @@
     return checkout
 
 
-def test_one_run_measures_two_checkouts(tmp_path: Path, slower_checkout: Path) -> None:
-    programs = ["--program", str(ROOT), "--program", str(slower_checkout)]
+def test_one_run_tells_a_slower_checkout_from_a_faster_one(comparison: Comparison) -> None:
+    here = comparison.figures(ROOT)
+    there = comparison.figures(comparison.slower_checkout)
+
+    assert here["single_change_cpu_ms"]["median"] * 5 < there["single_change_cpu_ms"]["median"]
+
 
-    result, output = result_of(tmp_path, *CONTROL, *programs)
+def test_one_run_gives_two_checkouts_the_same_endpoint_list(comparison: Comparison) -> None:
+    here = comparison.figures(ROOT)
+    there = comparison.figures(comparison.slower_checkout)
 
-    here, there = (result["measured"][str(program)] for program in (ROOT, slower_checkout))
-    assert here["40"]["one_cpu_ms"]["median"] * 5 < there["40"]["one_cpu_ms"]["median"]
-    assert here["40"]["start_bytes"]["median"] == there["40"]["start_bytes"]["median"] > 0
-    assert here["40"]["burst_hold_ms"]["median"] > 0
-    assert not here["40"]["unfinished"]
-    assert "40 A" in output
-    assert "40 B" in output
-    assert not list(slower_checkout.rglob("__pycache__"))  # a checkout that is measured is not written to
+    assert here["start_bytes"]["median"] == there["start_bytes"]["median"] > 0
+
+
+def test_a_control_run_measures_stalls_of_a_burst_that_was_applied_in_time(comparison: Comparison) -> None:
+    here = comparison.figures(ROOT)
+
+    assert here["burst_stall_cpu_ms"]["median"] > 0
+    assert not here["is_lower_bound"]
+
+
+def test_a_control_run_prints_a_column_for_each_checkout(comparison: Comparison) -> None:
+    assert "40 A" in comparison.run.stdout
+    assert "40 B" in comparison.run.stdout
+
+
+def test_a_measured_checkout_is_not_written_to(comparison: Comparison) -> None:
+    assert not list(comparison.slower_checkout.rglob("__pycache__"))
 
 
 @pytest.mark.parametrize(
@@ -186,38 +168,40 @@
         (["control", "--backends", "200,x"], "not a list of numbers"),
         (["control", "--backends", "0"], "whole numbers"),
         (["quickstart", "--json", "/no/such/folder/result.json"], "cannot be written"),
-        (["quickstart", "--program", "/"], "no checkout"),
+        (["quickstart", "--json", "/"], "cannot be written"),
+        (["quickstart", "--program", "/"], "not a checkout"),
         (["quickstart", "--seconds", "-1"], "--seconds"),
     ],
 )
 def test_what_cannot_be_run_is_reported_plainly(args: list[str], message: str) -> None:
-    with started(*args) as run:
-        out, errors = run.finish()
+    with start_scale(*args) as run:
+        output = run.finish()
 
-    assert run.process.returncode == 2
-    assert message in errors
-    assert "Traceback" not in errors
-    assert not out
+    assert run.exit_status == 2
+    assert message in output.stderr
+    assert "Traceback" not in output.stderr
+    assert not output.stdout
 
 
 @pytest.mark.parametrize("inherited", [signal.SIG_DFL, signal.SIG_IGN], ids=["default", "ignored"])
 @pytest.mark.parametrize("signum", [signal.SIGINT, signal.SIGTERM], ids=["SIGINT", "SIGTERM"])
 def test_an_interrupted_run_leaves_no_process(signum: signal.Signals, inherited: signal.Handlers) -> None:
-    with started("quickstart", "--seconds", "600", dispositions={signum: inherited}) as run:
-        # The leading process, three of fakes, the clients, the launcher and its three gateways.
-        assert len(run.wait_until_up()) >= 9
-        run.process.send_signal(signum)
-        _, errors = run.finish()
-        assert not run.living()
+    with start_scale(*LONG_QUICKSTART, dispositions={signum: inherited}) as run:
+        processes = run.wait_until_ready()
+        run.send_signal(signum)
+        output = run.finish()
+        left = run.live_processes()
 
-    assert run.process.returncode == 130
-    assert "Traceback" not in errors
+    assert len(processes) >= QUICKSTART_PROCESSES
+    assert not left
+    assert run.exit_status == 130
+    assert "Traceback" not in output.stderr
 
 
 def test_processes_end_with_a_parent_that_was_killed() -> None:
-    with started("quickstart", "--seconds", "600") as run:
-        run.wait_until_up()
-        run.process.kill()
+    with start_scale(*LONG_QUICKSTART) as run:
+        run.wait_until_ready()
+        run.send_signal(signal.SIGKILL)
         run.wait_until_gone()
 
 
@@ -226,72 +210,11 @@
     (tmp_path / "gateway" / "__init__.py").touch()
     (tmp_path / "gateway" / "__main__.py").write_text("raise SystemExit('not today')")
 
-    with started("quickstart", "--program", str(tmp_path)) as run:
-        _, errors = run.finish()
-        assert not run.living()
-
-    assert run.process.returncode == 1
-    assert "a gateway ended at its start: not today" in errors
-    assert "Traceback" not in errors
-
-
-@pytest.mark.parametrize(
-    ("measured", "p99_ms", "max_ms", "is_cut_short", "verdict"),
-    [
-        pytest.param(0.1, 1.0, 2.0, False, "met", id="at the bound"),
-        pytest.param(0.11, 1.0, 2.0, False, "not met", id="over the bound"),
-        pytest.param(0.05, 1.0, 2.0, True, "not met", id="took at least that"),
-        pytest.param(None, 1.0, 2.0, False, None, id="not measured"),
-        pytest.param(0.05, 20.1, 2.0, False, None, id="fakes often late"),
-        pytest.param(0.05, 1.0, 251.0, False, None, id="fakes late once"),
-    ],
-)
-def test_the_verdict_follows_goals_and_lateness(
-    measured: float | None, p99_ms: float, max_ms: float, is_cut_short: bool, verdict: str | None
-) -> None:
-    result = Result("control", {}, {})
-    result.goals["."] = [
-        Goal("one change", "ms", 0.1, measured, is_cut_short),
-        Goal("a list", "ms", 5.0, None),
-    ]
-
-    result.note_lag("discovery", {"p99_ms": p99_ms, "max_ms": max_ms})
-
-    assert result.verdict() == verdict
-    assert (result.verdict() is None) == bool(result.why_no_verdict())
-
-
-def test_each_backend_changes_once_before_any_changes_again() -> None:
-    endpoints = SyntheticEndpointList(10, [1], seed=1)
-
-    first = endpoints.change(100)
-    endpoints.change(9)
-    marker = endpoints.change_marker()
-
-    event = json.loads(first.line)
-    assert [entry["host"] for entry in event["hosts"]] == first.hosts
-    assert len(set(first.hosts)) == 9
-    assert event["seq"] == 2
-    assert not event["whole"]
-    assert {entry["health"] for entry in event["hosts"]} == {"draining"}
-    assert marker.hosts == [endpoints.marker_host]
-    assert endpoints.marker_host not in first.hosts
-
-
-def test_a_snapshot_leaves_removed_backends_out() -> None:
-    endpoints = SyntheticEndpointList(10, [1], seed=1)
-
-    endpoints.change(9)
-    endpoints.change(9)
-
-    (entry,) = json.loads(endpoints.snapshot())["hosts"]
-    assert entry["host"] == endpoints.marker_host
-
+    with start_scale("quickstart", "--program", str(tmp_path)) as run:
+        output = run.finish()
+        left = run.live_processes()
 
-def test_customers_come_to_gateways_of_their_sets_only() -> None:
-    customers = Customers(1_000, gateways=10, spread=3, seed=1)
-    for gateway in range(10):
-        picked = {customers.pick(gateway) for _ in range(2_000)}
-        assert all((gateway - first) % 10 < 3 for _, first in picked)
-        assert all(number % 10 == first for number, first in picked)
-        assert len(picked) == pytest.approx(300, abs=5)
+    assert not left
+    assert run.exit_status == 1
+    assert "exited before it listened, last log line: not today" in output.stderr
+    assert "Traceback" not in output.stderr
