--- a/gateway/network/process/configuration.py
+++ b/gateway/network/process/configuration.py
@@ -1,7 +1,7 @@
 """Reads the configuration that the platform gives a gateway: the JSON file that LB_CONFIG names.
 
-The file is in the words of the platform's pages; they are translated here and, for its `settings` object, in
-`gateway.settings_document`.
+The keys of the file are the platform's. They are translated to the field's terms here and, for the `settings`
+object, in `gateway.settings_document`.
 """
 
 from __future__ import annotations
@@ -16,6 +16,28 @@
 from gateway.policy.settings import Settings
 from gateway.settings_document import parse_settings
 
+# Keys of the file.
+NAME = "name"
+LISTEN_ADDRESS = "listen"
+DISCOVERY_ADDRESS = "discovery"
+COUNTER_ADDRESS = "counter"
+SEED = "seed"
+LIMITS = "limits"
+CACHED_ENDPOINT_LIST = "known"
+SETTINGS = "settings"
+
+# Keys of its limits.
+MAX_DESCRIPTORS = "sockets"
+MEMORY_MB = "memory_mb"
+
+# Keys of its settings that the network code needs, and the policy does not.
+CAPABILITIES = "caps"
+CONNECT_TIMEOUT_MS = "connectTimeout"
+KEEPALIVE_MS = "keepalive"
+MAX_OPEN_REQUESTS = "maxOpen"
+RULES = "rules"
+POLL_INTERVAL_MS = "askEvery"
+
 DEFAULT_MAX_DESCRIPTORS = 1024
 """File descriptors, where the configuration gives no limit: the usual soft limit of a process."""
 
@@ -36,7 +58,7 @@
 
 
 class ConfigurationError(GatewayError):
-    """The configuration cannot be read, or does not say what a gateway needs."""
+    """The configuration cannot be read, lacks a required key or has a value of the wrong type or form."""
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -90,25 +112,25 @@
 
 def _translate(document: dict[str, Any]) -> GatewayConfig:
     """The configuration that the platform's document means."""
-    settings = document["settings"]
-    capabilities = settings.get("caps") or {}
-    rules = settings.get("rules") or {}
-    limits = document.get("limits") or {}
-    counter = document.get("counter")
+    settings = document[SETTINGS]
+    capabilities = settings.get(CAPABILITIES) or {}
+    rules = settings.get(RULES) or {}
+    limits = document.get(LIMITS) or {}
+    counter_address = document.get(COUNTER_ADDRESS)
     return GatewayConfig(
-        name=str(document.get("name") or ""),
-        listen_address=parse_address(document["listen"]),
-        discovery_address=parse_address(document["discovery"]),
-        counter_address=parse_address(counter) if counter else None,
-        seed=int(str(document.get("seed") or "0"), 16),
-        max_descriptors=int(limits.get("sockets") or DEFAULT_MAX_DESCRIPTORS),
-        memory_mb=int(limits.get("memory_mb") or DEFAULT_MEMORY_MB),
+        name=str(document.get(NAME) or ""),
+        listen_address=parse_address(document[LISTEN_ADDRESS]),
+        discovery_address=parse_address(document[DISCOVERY_ADDRESS]),
+        counter_address=parse_address(counter_address) if counter_address else None,
+        seed=int(str(document.get(SEED) or "0"), 16),
+        max_descriptors=int(limits.get(MAX_DESCRIPTORS) or DEFAULT_MAX_DESCRIPTORS),
+        memory_mb=int(limits.get(MEMORY_MB) or DEFAULT_MEMORY_MB),
         settings=parse_settings(settings),
-        connect_timeout_ms=float(capabilities.get("connectTimeout") or DEFAULT_CONNECT_TIMEOUT_MS),
-        keepalive_ms=float(capabilities.get("keepalive") or DEFAULT_KEEPALIVE_MS),
-        max_open_requests=int(capabilities.get("maxOpen") or DEFAULT_MAX_OPEN_REQUESTS),
-        poll_interval_ms=float(rules.get("askEvery") or DEFAULT_POLL_INTERVAL_MS),
-        cached_endpoints=document.get("known") or {},
+        connect_timeout_ms=float(capabilities.get(CONNECT_TIMEOUT_MS) or DEFAULT_CONNECT_TIMEOUT_MS),
+        keepalive_ms=float(capabilities.get(KEEPALIVE_MS) or DEFAULT_KEEPALIVE_MS),
+        max_open_requests=int(capabilities.get(MAX_OPEN_REQUESTS) or DEFAULT_MAX_OPEN_REQUESTS),
+        poll_interval_ms=float(rules.get(POLL_INTERVAL_MS) or DEFAULT_POLL_INTERVAL_MS),
+        cached_endpoints=document.get(CACHED_ENDPOINT_LIST) or {},
     )
 
 
@@ -121,7 +143,7 @@
     try:
         document = json.loads(Path(path).read_text())
     except (OSError, ValueError, RecursionError) as error:
-        raise ConfigurationError(f"{path}: {error}") from error
+        raise ConfigurationError(f"{path}: cannot be read as JSON: {error}") from error
     try:
         return parse_config(document)
     except ConfigurationError as error:
--- a/gateway/network/process/descriptor_budget.py
+++ b/gateway/network/process/descriptor_budget.py
@@ -1,4 +1,4 @@
-"""Divides a process's file descriptors between clients' connections and those to backends."""
+"""Division of a process's file descriptors between clients' connections and connections to backends."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 from typing import NamedTuple
 
 CLIENT_SHARE = 0.5
-"""Fraction of the descriptors that clients' connections may take, at most."""
+"""Largest fraction of the descriptors for clients' connections."""
 
 BACKEND_SHARE = 0.25
-"""Fraction of the descriptors that connections to backends may take, at most; the rest is headroom."""
+"""Largest fraction of the descriptors for connections to backends."""
 
 RESERVED_DESCRIPTORS = 40
-"""Descriptors that neither clients nor backends may take, at least.
+"""Least number of descriptors that are neither clients' nor backends'.
 
-14 of the process itself, 7 for watches that are opened and closed beside each other, 8 for the counter at two
-addresses, and some for files that are read again and for what the process inherited.
+The process itself takes 14, watches that overlap 7 and the counter 8 (at two addresses, while it moves); the
+rest is for configuration files and inherited descriptors.
 """
 
 
@@ -27,10 +27,10 @@
 
 
 def budget_descriptors(configured: int) -> DescriptorBudget:
-    """The budget of a process that may have `configured` descriptors, or fewer by the limit of its system.
+    """The budget of a process with `configured` descriptors, or fewer by the limit of its system.
 
-    Danger: clients fill all that they may have. A watch that finds no descriptor left misses the list's
-    changes.
+    Idle clients may take all descriptors of their share. The reserve keeps some for the endpoint watch, which
+    would otherwise miss drains, and for the counter.
     """
     available = _within_system_limit(configured)
     unreserved = max(0, available - RESERVED_DESCRIPTORS)
--- a/gateway/network/process/reload.py
+++ b/gateway/network/process/reload.py
@@ -1,4 +1,4 @@
-"""Reloads the configuration of a running gateway, as SIGHUP asks for."""
+"""Reload of the configuration of a running gateway, which SIGHUP triggers."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ReloadSignal:
-    """A request to reload, kept until a handler is there to fulfil it.
+    """A signal to reload, pending until a handler is connected.
 
     The signal may arrive while the gateway is still starting.
     """
@@ -41,7 +41,7 @@
 def reload_addresses(
     load: Callable[[], GatewayConfig], watcher: EndpointWatcher, counter: CounterClient | None
 ) -> None:
-    """Move to the addresses that the configuration names now; all else stays as it was at the start.
+    """Move to the addresses in the configuration; all other settings stay as they were at the start.
 
     A configuration that cannot be read is logged and changes nothing.
     """
@@ -50,8 +50,11 @@
     except ConfigurationError as error:
         log.error("reload failed, the old configuration stays in force: %s", error)
         return
-    log.info("configuration reloaded")
+    moves: list[str] = []
     if config.discovery_address != watcher.address:
+        moves.append(f"discovery moves from {watcher.address} to {config.discovery_address}")
         watcher.move_to(config.discovery_address)
-    if counter is not None and config.counter_address is not None:
+    if counter is not None and config.counter_address not in (None, counter.address):
+        moves.append(f"counter moves from {counter.address} to {config.counter_address}")
         counter.move_to(config.counter_address)
+    log.info("configuration reloaded: %s", ", ".join(moves) or "no address changed")
--- a/gateway/network/process/server.py
+++ b/gateway/network/process/server.py
@@ -35,20 +35,23 @@
 log = logging.getLogger("gateway")
 
 BUFFER_SHARE = 0.2
-"""Fraction of the memory for incomplete replies of backends, and again for replies unread by clients."""
+"""Fraction of the memory limit for incomplete replies of backends, and as much for unsent replies."""
 
 FIRST_SNAPSHOT_TIMEOUT_S = 1.0
-"""Seconds that a start waits for the list of discovery's agent, which answers at once if at all."""
+"""Longest wait of a start for the endpoint list of discovery's agent, in seconds.
+
+An agent responds at once or, while discovery is down, not at all.
+"""
 
 WATCH_RETRY_SHARE = 0.25
-"""Fraction of the drain grace after which another watch is opened beside one that is not answered."""
+"""Fraction of the drain grace after which another watch is opened beside one without a response."""
 
 MIN_WATCH_RETRY_S = 0.05
-"""Seconds until then, at least."""
+"""Least time until another watch is opened beside one without a response, in seconds."""
 
 
 def watch_retry_interval_s(rules: SafetyRules) -> float:
-    """Seconds after which another watch is opened beside one that is not answered."""
+    """Seconds after which another watch is opened beside one without a response."""
     return max(MIN_WATCH_RETRY_S, rules.drain_grace_ms / 1000 * WATCH_RETRY_SHARE)
 
 
@@ -102,7 +105,7 @@
             listener = self._start_listening(watcher, on_ready)
             await asyncio.wait({stopped, watch}, return_when=asyncio.FIRST_COMPLETED)
             if watch.done():
-                watch.result()  # ends only by a fault: better a visible crash than an outdated list
+                watch.result()  # ended by a fault: crash visibly rather than serve by an outdated list
             await self._shut_down(listener)
         finally:
             watch.cancel()
@@ -113,17 +116,23 @@
     # ---- start ----
 
     def _apply_cached_endpoints(self) -> int | None:
-        """Take up the cached list, if there is one; gives the version to watch from, None for a whole list.
+        """Put the cached list in force, if there is one.
 
-        It may be old, and what an agent holds counts as notified from the first moment: an agent's list is
-        read whole.
+        Returns:
+            The version to watch from, or None to read a snapshot first. A list that an agent pushes is
+            always read as a snapshot: the cached one may be old, and what the agent holds counts as
+            notified from the start of the process.
         """
         if not self._config.cached_endpoints:
             return None
         try:
             cached = parse_endpoint_list(self._config.cached_endpoints)
         except EndpointListError as error:
-            log.error("cached endpoint list cannot be read, starting without it: %s", error)
+            log.error(
+                "gateway %s: cached endpoint list cannot be parsed, starting without it: %s",
+                self._config.name,
+                error,
+            )
             return None
         self._dispatcher.on_endpoints(UpdateKind.CACHED, cached.endpoints)
         return cached.version if self._config.settings.polls_endpoints else None
@@ -131,7 +140,7 @@
     async def _await_first_snapshot(
         self, watcher: EndpointWatcher, watch: asyncio.Task[None], stopped: asyncio.Task[bool]
     ) -> None:
-        """Wait for discovery's whole list, but no longer than for an agent that answers."""
+        """Wait for the first snapshot, but no longer than an agent that responds takes."""
         received = self._loop.create_task(watcher.snapshot_received.wait())
         try:
             await asyncio.wait(
@@ -145,14 +154,14 @@
     def _start_listening(
         self, watcher: EndpointWatcher, on_ready: Callable[[int], None] | None
     ) -> ClientListener:
-        """Let clients connect; from here on, reloads are fulfilled."""
+        """Let clients connect, and connect the reload signal."""
         listener = self._create_listener()
         if self._reload_signal is not None and self._load is not None:
             self._reload_signal.connect(partial(reload_addresses, self._load, watcher, self._counter))
         address = self._config.listen_address
         port = listener.listen(*address)
         gc.collect()
-        gc.freeze()  # what the start has loaded stays: later collections need not go through it
+        gc.freeze()  # objects of the start live as long as the process; later collections skip them
         log.info("%s serves at %s:%d", self._config.name, address.host, port)
         if on_ready is not None:
             on_ready(port)
@@ -161,26 +170,45 @@
     # ---- shutdown ----
 
     async def _shut_down(self, listener: ClientListener) -> None:
-        """Serve on for a while, then close clients' connections as their requests end."""
-        log.info("draining")
+        """Keep serving for a while, then close clients' connections as their requests end."""
         began_at = self._loop.time()
+        log.info(
+            "gateway %s draining: %d requests open; serving for %.2f s more, "
+            "requests still open after %.2f s will fail",
+            self._config.name,
+            len(self._dispatcher.open_requests),
+            self._schedule.keep_serving_s,
+            self._schedule.fail_requests_s,
+        )
+        failed_requests = 0
         await asyncio.sleep(self._schedule.keep_serving_s)
         listener.begin_shutdown()
         try:
             async with asyncio.timeout_at(began_at + self._schedule.fail_requests_s):
                 await listener.all_closed.wait()
         except TimeoutError:
-            await self._fail_open_requests(listener)
+            failed_requests = await self._fail_open_requests(listener)
         listener.close()
-        log.info("drained")
+        log.info(
+            "gateway %s drained after %.2f s: %d requests failed at the end of the shutdown",
+            self._config.name,
+            self._loop.time() - began_at,
+            failed_requests,
+        )
 
-    async def _fail_open_requests(self, listener: ClientListener) -> None:
-        """Reply to what is open with a failure, before SIGKILL would lose it."""
-        log.warning("shutdown: %d requests still open, failing them", len(self._dispatcher.open_requests))
+    async def _fail_open_requests(self, listener: ClientListener) -> int:
+        """Reply to each open request with a failure, before SIGKILL would drop it; return their number."""
+        failed_requests = len(self._dispatcher.open_requests)
+        log.warning(
+            "gateway %s: %d requests still open at the end of the shutdown; each gets a failure reply",
+            self._config.name,
+            failed_requests,
+        )
         self._dispatcher.fail_open_requests()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self._schedule.close_timeout_s):
                 await listener.all_closed.wait()
+        return failed_requests
 
     def _close_connections(self) -> None:
         self._backends.close()
@@ -257,7 +285,7 @@
     reload_signal = ReloadSignal()
     for signum in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signum, stop.set)
-    # Danger: without a handler SIGHUP ends the process, and all requests that are open in it.
+    # SIGHUP needs a handler before anything else starts: its default action ends the process.
     loop.add_signal_handler(signal.SIGHUP, reload_signal.trigger)
     load = partial(load_config, path)
     server = GatewayServer(load(), load=load, reload_signal=reload_signal)
--- a/gateway/network/process/shutdown_schedule.py
+++ b/gateway/network/process/shutdown_schedule.py
@@ -7,19 +7,19 @@
 from gateway.policy.settings import Settings
 
 CLIENT_REDIRECT_S = 0.45
-"""Seconds after SIGTERM in which new connections still arrive."""
+"""Time after SIGTERM in which new connections still arrive, in seconds."""
 
 LONGEST_DEADLINE_S = 3.0
-"""Longest request deadline in seconds that SIGKILL waits for; it comes 0.7 s after that."""
+"""Longest request deadline that the platform waits for before SIGKILL, in seconds."""
 
 LAST_REPLY_S = 0.4
-"""Seconds of these 0.7 s: what is open then is failed, before SIGKILL would lose it."""
+"""Time after the longest deadline at which open requests fail, in seconds; SIGKILL comes 0.7 s after it."""
 
 DEFAULT_REQUEST_TIME_S = 3.0
 """Deadline and latency objective in seconds, where the settings have no request class."""
 
 CLOSE_TIMEOUT_S = 0.1
-"""Seconds in which clients' connections have to close once their requests have failed."""
+"""Time for clients' connections to close once their requests have failed, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,10 +38,10 @@
 
     @classmethod
     def for_settings(cls, settings: Settings) -> ShutdownSchedule:
-        """The schedule that suits the deadlines and latency objectives of the request classes.
+        """The schedule for the deadlines and latency objectives of the request classes.
 
-        This gateway's place is empty until it is back. So it serves the connections that it has for as long
-        as a reply within its latency objective can still come before SIGKILL.
+        Capacity is missing from the fleet until this gateway has restarted, so it keeps serving as long as a
+        reply can still meet its latency objective before SIGKILL.
         """
         classes = settings.request_classes
         longest_deadline_s = min(
--- a/tests/network/process/test_configuration.py
+++ b/tests/network/process/test_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration file, in the words of the platform's pages."""
+"""The configuration file, with the platform's keys."""
 
 from __future__ import annotations
 
--- a/tests/network/process/test_deployment_settings.py
+++ b/tests/network/process/test_deployment_settings.py
@@ -1,4 +1,4 @@
-"""The whole gateway under the settings of other deployments: names, effects, plans, limits and deadlines."""
+"""The whole gateway with the settings of other deployments: names, idempotency, plans, limits, deadlines."""
 
 from __future__ import annotations
 
@@ -78,7 +78,7 @@
 }
 
 RETRIED_EFFECTS = {"pure", "token"}
-"""All backends of the tests are of one zone and cell, so a key is known to each of them."""
+"""All backends of the tests are in one zone and cell, so each recognises the others' idempotency keys."""
 
 CASES = [
     (name, class_index)
@@ -142,15 +142,15 @@
 
 @pytest.mark.parametrize(("name", "class_index"), [case for case in CASES if case[0] != "long"])
 def test_backend_that_hangs_costs_no_client_its_reply(name: str, class_index: int) -> None:
-    """One final reply before the deadline; what may have run and is not idempotent is not rejected."""
+    """One final reply before the deadline; a non-idempotent request that may have run is not rejected."""
     settings = DEPLOYMENTS[name]
     given_class = settings["classes"][class_index]
 
-    async def silent(_command: list[bytes]) -> ScriptedReply:
+    async def never_reply(_command: list[bytes]) -> ScriptedReply:
         return None
 
     async def scenario() -> None:
-        backend = FakeBackend(silent)
+        backend = FakeBackend(never_reply)
         harness = GatewayHarness(backend)
         harness.settings = settings
         async with running_gateway(harness):
--- a/tests/network/process/test_descriptor_budget.py
+++ b/tests/network/process/test_descriptor_budget.py
@@ -1,4 +1,4 @@
-"""The program as a process whose descriptors are few: idle clients take as many of them as they can get."""
+"""The descriptor budget, and a process whose descriptors idle clients exhaust."""
 
 from __future__ import annotations
 
@@ -46,16 +46,16 @@
 
 
 class UnavailableDiscovery(FakeDiscovery):
-    """Discovery that is down at first: nobody listens, or calls are accepted and not answered."""
+    """Discovery that is down at first: connections are refused, or calls get no response."""
 
-    def __init__(self, *, is_silent: bool) -> None:
+    def __init__(self, *, accepts_calls: bool) -> None:
         super().__init__()
-        self.is_silent = is_silent
+        self.accepts_calls = accepts_calls
         self.reservation = reserve_port()
         self.recovered = asyncio.Event()
 
     async def start(self) -> None:
-        if self.is_silent:
+        if self.accepts_calls:
             await super().start()
         else:
             self.port = port_of(self.reservation)
@@ -65,18 +65,18 @@
         await super().handle_connection(reader, writer)
 
     async def stop(self) -> None:
-        if self.is_silent or self.recovered.is_set():
+        if self.accepts_calls or self.recovered.is_set():
             await super().stop()
         self.reservation.close()
 
     async def recover(self) -> None:
-        if not self.is_silent:
+        if not self.accepts_calls:
             self.server = await asyncio.start_server(self._accept, LOCAL, self.port)
         self.recovered.set()
 
 
 class IdleClients:
-    """Clients that hold their connections and say nothing; one that is shut out comes again at once."""
+    """Clients that hold idle connections; one whose connection is closed reconnects at once."""
 
     def __init__(self, port: int, count: int) -> None:
         self.port = port
@@ -117,8 +117,8 @@
             yield gateway.port
 
 
-async def ask_until_served(port: int, *commands: tuple[bytes, ...]) -> None:
-    """A client that comes again where it is shut out unread, as clients do; all its requests are served."""
+async def request_until_served(port: int, *commands: tuple[bytes, ...]) -> None:
+    """Send requests until each is served, reconnecting where the connection is closed without a reply."""
     peer = await connect(port)
     for command in commands:
         while True:
@@ -132,12 +132,12 @@
 
 
 def counted_request(id: bytes, customer: int) -> tuple[bytes, ...]:
-    """A request whose plan has a quota, so that the counter hears of it."""
+    """A request whose plan has a quota, so that it is reported to the counter."""
     return request_command(id, plan=b"basic", customer=b"%016x" % customer, remaining_ms=60_000)
 
 
 async def hang(peers: list[RespPeer], backend: FakeBackend) -> None:
-    """Open a request on each connection, each of which takes one connection to the backend."""
+    """Open a request on each connection; each takes one connection to the backend."""
     for number, peer in enumerate(peers):
         peer.send(*counted_request(b"hangs%d" % number, number))
         await wait_until(lambda number=number: len(backend.received) > number)  # type: ignore[misc]
@@ -152,11 +152,11 @@
 
 
 @pytest.mark.parametrize("limit", [64, 96, 1024])
-@pytest.mark.parametrize("is_silent", [False, True], ids=["refuses", "silent"])
+@pytest.mark.parametrize("accepts_calls", [False, True], ids=["refuses", "silent"])
 def test_idle_clients_leave_descriptors_for_the_watch_the_counter_and_backends(
-    is_silent: bool, limit: int, tmp_path: Path
+    accepts_calls: bool, limit: int, tmp_path: Path
 ) -> None:
-    """All that others may have is taken when discovery recovers; the counter has hung up by then."""
+    """Clients and backends have exhausted their shares when discovery recovers and the counter reconnects."""
 
     async def scenario() -> None:
         budget = budget_descriptors(limit)
@@ -164,28 +164,28 @@
         new = FakeBackend()
         harness = GatewayHarness(old, new, sockets=limit)
         harness.settings = {**SETTINGS, "classes": [LONG_CLASS]}
-        discovery = harness.discovery = UnavailableDiscovery(is_silent=is_silent)
+        discovery = harness.discovery = UnavailableDiscovery(accepts_calls=accepts_calls)
         harness.hosts = lambda: [endpoint_entry("h0", old.port)]  # type: ignore[method-assign]
         async with launched_with_descriptors(harness, tmp_path, limit) as port:
             hung = [await connect(port) for _ in range(budget.backend_connections - 1)]
             await hang(hung, old)
             counter_connections = harness.counter.accepted
             async with idle_clients(port, 2 * budget.client_connections) as idle:
-                # More have been shut out than there are: no descriptor is left for clients.
+                # More connections were closed than there are clients: the clients' share is exhausted.
                 await wait_until(lambda: idle.closed_connections > 2 * budget.client_connections)
-                await ask_until_served(port, counted_request(b"cached", 1_000))
+                await request_until_served(port, counted_request(b"cached", 1_000))
 
                 harness.counter.close_connections()
                 discovery.snapshot = endpoint_list(42, endpoint_entry("h1", new.port))
                 await discovery.recover()
                 await wait_until(lambda: discovery.watches)
                 requests = [counted_request(b"listed%d" % number, 2_000 + number) for number in range(8)]
-                await ask_until_served(port, *requests)
+                await request_until_served(port, *requests)
 
                 assert len(new.received) == 8
                 customers_counted = budget.backend_connections + 8
                 await wait_until(
-                    lambda: len({words[1] for words in harness.counter.received}) >= customers_counted
+                    lambda: len({command[1] for command in harness.counter.received}) >= customers_counted
                 )
                 assert harness.counter.accepted > counter_connections
                 assert "Too many open files" not in (tmp_path / "log").read_text()
--- a/tests/network/process/test_gateway_process.py
+++ b/tests/network/process/test_gateway_process.py
@@ -44,14 +44,13 @@
             idle = await connect(gateway.port)
             peer.send(b"PING")
             assert await peer.receive() == b"PONG"
-            peer.send(
-                *request_command(request_class=b"wipe")
-            )  # not idempotent, so waited for to its deadline
+            # A request that is not idempotent stays in flight until its deadline.
+            peer.send(*request_command(request_class=b"wipe"))
             await wait_until(lambda: backend.received)
 
             gateway.process.send_signal(signal.SIGTERM)
 
-            late = await connect(gateway.port)  # clients have not noticed yet
+            late = await connect(gateway.port)  # new connections arrive for a while after SIGTERM
             late.send(b"PING")
             assert await late.receive() == b"PONG"
             assert gateway.process.returncode is None
@@ -76,9 +75,8 @@
             new_harness.discovery.snapshot = {"seq": 3, "whole": True, "hosts": new_harness.hosts()}
             first = await connect(gateway.port)
             second = await connect(gateway.port)
-            first.send(
-                *request_command(request_class=b"wipe", plan=b"basic")
-            )  # not idempotent, so waited for to its deadline
+            # A request that is not idempotent stays in flight until its deadline.
+            first.send(*request_command(request_class=b"wipe", plan=b"basic"))
             await wait_until(lambda: old_backend.received)
 
             gateway.config.write_text("not a configuration")
@@ -95,7 +93,7 @@
             second.send(*request_command(b"second", request_class=b"wipe"))
             assert await second.receive() == b"value"
             assert len(new_backend.received) == 1
-            third = await connect(gateway.port)  # it still listens where it did
+            third = await connect(gateway.port)  # the listening address does not change
             third.send(*request_command(b"third", plan=b"basic", customer=b"00000000b4d65522"))
             assert await third.receive() == b"value"
             await wait_until(lambda: new_harness.counter.received)
--- a/tests/network/process/test_gateway_server.py
+++ b/tests/network/process/test_gateway_server.py
@@ -2,6 +2,9 @@
 
 from __future__ import annotations
 
+import logging
+import re
+
 import pytest
 
 from gateway.network.discovery.watch import EndpointWatcher
@@ -14,15 +17,17 @@
 from tests.support.request_commands import request_command
 
 
+async def never_reply(_command: list[bytes]) -> ScriptedReply:
+    """A backend's script: the request stays in flight."""
+    return None
+
+
 def test_requests_open_at_the_end_of_shutdown_are_failed_rather_than_lost() -> None:
-    """SIGKILL would leave the client without a reply; the request may have run, so it is not rejected."""
+    """SIGKILL would drop them; a request that may have run gets a failure, not a rejection."""
     schedule = ShutdownSchedule(keep_serving_s=0.05, fail_requests_s=0.1)
 
-    async def silent(_command: list[bytes]) -> ScriptedReply:
-        return None
-
     async def scenario() -> None:
-        backend = FakeBackend(silent)
+        backend = FakeBackend(never_reply)
         async with running_gateway(GatewayHarness(backend), schedule) as harness:
             peer = await harness.client()
             peer.send(*request_command())
@@ -36,8 +41,38 @@
     run_in_loop(scenario)
 
 
+def test_shutdown_is_logged_with_open_and_failed_requests(caplog: pytest.LogCaptureFixture) -> None:
+    caplog.set_level(logging.INFO, logger="gateway")
+    schedule = ShutdownSchedule(keep_serving_s=0.05, fail_requests_s=0.1)
+
+    async def scenario() -> None:
+        backend = FakeBackend(never_reply)
+        async with running_gateway(GatewayHarness(backend), schedule) as harness:
+            peers = [await harness.client() for _ in range(2)]
+            for number, peer in enumerate(peers):
+                peer.send(*request_command(b"%d" % number))
+            await wait_until(lambda: len(backend.received) == 2)
+
+            harness.stop.set()
+            for peer in peers:
+                assert str(await peer.receive()) == "ERR failed"
+
+    run_in_loop(scenario)
+    expected = [
+        r"n0 serves at 127\.0\.0\.1:\d+",
+        r"gateway n0 draining: 2 requests open; serving for 0\.05 s more, "
+        r"requests still open after 0\.10 s will fail",
+        r"gateway n0: 2 requests still open at the end of the shutdown; each gets a failure reply",
+        r"gateway n0 drained after \d+\.\d\d s: 2 requests failed at the end of the shutdown",
+    ]
+    messages = [record.getMessage() for record in caplog.records if record.name == "gateway"]
+    assert len(messages) == len(expected)
+    for message, pattern in zip(messages, expected, strict=True):
+        assert re.fullmatch(pattern, message)
+
+
 def test_open_connections_are_served_while_draining() -> None:
-    """This gateway's place is empty until it is back."""
+    """The fleet lacks this gateway's capacity until it has restarted."""
     schedule = ShutdownSchedule(keep_serving_s=0.3, fail_requests_s=0.6)
 
     async def scenario() -> None:
@@ -55,7 +90,7 @@
 
 
 def test_failed_watch_of_the_endpoint_list_ends_the_run(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A visible crash is better than a list that grows outdated unseen."""
+    """A visible crash is better than serving by an outdated list."""
 
     async def fail(_watcher: EndpointWatcher) -> None:
         raise RuntimeError("a fault of the watch")
--- a/tests/network/process/test_process_endings.py
+++ b/tests/network/process/test_process_endings.py
@@ -1,4 +1,4 @@
-"""The graceful shutdown, on real sockets, each step while something is owed to a client."""
+"""The graceful shutdown on real sockets: each step while a client still awaits a reply."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def test_requests_on_connections_in_the_accept_queue_are_answered() -> None:
-    """The kernel has accepted them: to close the listener would reset requests that are complete."""
+    """The kernel has accepted these connections: closing the listener would reset complete requests."""
 
     async def scenario() -> None:
         async with running_listener() as (listener, handler, port):
@@ -41,7 +41,7 @@
     async def scenario() -> None:
         async with running_listener() as (listener, handler, port):
             late = connect_at_once(port)
-            silent = connect_at_once(port)
+            idle = connect_at_once(port)
 
             listener.begin_shutdown()
             assert len(listener.connections) == 2
@@ -50,14 +50,14 @@
             handler.pending["late"].complete(encode_command(b"yes"))
 
             assert await (await as_peer(late)).receive() == [b"yes"]
-            assert await (await as_peer(silent)).receive() is None
+            assert await (await as_peer(idle)).receive() is None
 
     run_in_loop(scenario)
 
 
 @pytest.mark.parametrize("ahead", [b"", encode_command(*request_command(b"first"))])
 def test_command_incomplete_at_sigterm_may_be_completed(ahead: bytes) -> None:
-    """Its last byte makes it a request, on a connection that the gateway must not have closed by then."""
+    """The gateway must not close a connection on which a request may still be completed."""
 
     async def scenario() -> None:
         async with running_listener() as (listener, handler, port):
@@ -89,9 +89,8 @@
             await wait_until(lambda: handler.pending)
             listener.begin_shutdown()
 
-            client.sendall(
-                encode_command(*request_command(b"second"))
-            )  # is with the kernel as the first is answered
+            # The kernel has received it when the reply to the first one is sent.
+            client.sendall(encode_command(*request_command(b"second")))
             handler.pending["first"].complete(encode_command(b"yes"))
             assert "second" in handler.pending
             handler.pending["second"].complete(encode_command(b"too"))
@@ -103,14 +102,14 @@
 
 
 def test_request_after_the_final_replies_is_rejected_and_not_forwarded() -> None:
-    """It never ran, so that its client may retry elsewhere; a backend's reply could not come in time."""
+    """A backend's reply could not arrive in time; a request that never ran may be retried elsewhere."""
     schedule = ShutdownSchedule(keep_serving_s=0.01, fail_requests_s=0.05, close_timeout_s=10.0)
 
-    async def stay_silent(_command: list[bytes]) -> ScriptedReply:
+    async def never_reply(_command: list[bytes]) -> ScriptedReply:
         return None
 
     async def scenario() -> None:
-        backend = FakeBackend(stay_silent)
+        backend = FakeBackend(never_reply)
         async with running_gateway(GatewayHarness(backend), schedule) as harness:
             hung = await harness.client()
             late = await harness.client()
--- a/tests/network/process/test_reload.py
+++ b/tests/network/process/test_reload.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import json
 from pathlib import Path
 
 import pytest
@@ -36,6 +37,30 @@
     assert caplog.text.count("\n") == 1
 
 
+def test_reload_is_logged_with_the_addresses_that_change(
+    tmp_path: Path, caplog: pytest.LogCaptureFixture
+) -> None:
+    caplog.set_level("INFO", logger="gateway")
+    config = tmp_path / "config.json"
+
+    async def scenario() -> None:
+        async with WatchHarness() as watch:
+            old_address = watch.client.address
+            for discovery_address in (old_address, "127.0.0.1:1"):
+                addresses = {"listen": "127.0.0.1:0", "discovery": str(discovery_address)}
+                config.write_text(json.dumps({**addresses, "settings": {}}))
+
+                reload_addresses(lambda: load_config(str(config)), watch.client, None)
+
+            messages = [record.getMessage() for record in caplog.records if record.name == "gateway"]
+            assert messages == [
+                "configuration reloaded: no address changed",
+                f"configuration reloaded: discovery moves from {old_address} to 127.0.0.1:1",
+            ]
+
+    run_in_loop(scenario)
+
+
 def test_signal_before_the_start_is_done_is_handled_once_at_its_end() -> None:
     handled: list[str] = []
     reload_signal = ReloadSignal()
--- a/tests/network/process/test_starts.py
+++ b/tests/network/process/test_starts.py
@@ -1,4 +1,4 @@
-"""Many programs that start at once, and again after an outright end, whatever state discovery is in."""
+"""Many gateways that start at once, and again after SIGKILL, for each state of discovery."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 READY_TIMEOUT_S = 10.0
 """Seconds in which these have to be ready."""
 LAST_READY_TIMEOUT_S = 30.0
-"""Seconds in which all have to be ready: the bench waits no longer."""
+"""Seconds in which all have to be ready."""
 
 
 class Readiness(NamedTuple):
@@ -36,8 +36,8 @@
     peer: RespPeer | None
 
 
-class SilentDiscovery(FakeDiscovery):
-    """Accepts calls and never answers."""
+class UnresponsiveDiscovery(FakeDiscovery):
+    """Accepts calls and never responds."""
 
     async def handle_connection(self, reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
         await reader.read()
@@ -55,7 +55,7 @@
 
 @contextlib.contextmanager
 def closed_port() -> Iterator[int]:
-    """A port where nobody listens, and which nobody else is given."""
+    """A port without a listener, reserved meanwhile."""
     with socket.socket() as bound:
         bound.bind((LOCAL, 0))
         yield bound.getsockname()[1]
@@ -63,7 +63,7 @@
 
 @contextlib.contextmanager
 def unreachable_port() -> Iterator[int]:
-    """A port whose queue is full: nothing comes back."""
+    """A port whose accept queue is full: connection attempts time out."""
     with contextlib.ExitStack() as stack:
         listener = stack.enter_context(socket.socket())
         listener.bind((LOCAL, 0))
@@ -82,9 +82,9 @@
         match state:
             case "up":
                 yield await stack.enter_async_context(serving(FakeDiscovery()))
-            case "silent":
-                yield await stack.enter_async_context(serving(SilentDiscovery()))
-            case "refuses":
+            case "unresponsive":
+                yield await stack.enter_async_context(serving(UnresponsiveDiscovery()))
+            case "connection refused":
                 yield stack.enter_context(closed_port())
             case "unreachable":
                 yield stack.enter_context(unreachable_port())
@@ -109,7 +109,7 @@
 
 
 async def start_all(configs: dict[int, Path]) -> list[float]:
-    """Start all at once and kill them once all are ready; gives the seconds that each took, in order."""
+    """Start all at once and kill them once all are ready; return the times to readiness, sorted."""
     processes: list[asyncio.subprocess.Process] = []
     try:
         waits = []
@@ -139,23 +139,23 @@
 
 @pytest.fixture
 def ports() -> Iterator[list[int]]:
-    """Ports for the processes to listen on, which nobody else is given meanwhile."""
+    """Reserved ports for the processes to listen on."""
     with contextlib.ExitStack() as stack:
         yield [port_of(stack.enter_context(reserve_port())) for _ in range(PROCESSES)]
 
 
 def last_log_lines(configs: dict[int, Path]) -> str:
-    """What each process that logged an error said last."""
+    """The last log line of each process that logged an error."""
     logs = [path.with_suffix(".log").read_text() for path in configs.values()]
     return "\n".join(log.splitlines()[-1] for log in logs if "Error" in log)
 
 
 @pytest.mark.timeout(150)
-@pytest.mark.parametrize("state", ["up", "refuses", "silent", "unreachable"])
+@pytest.mark.parametrize("state", ["up", "connection refused", "unresponsive", "unreachable"])
 def test_nine_in_ten_of_many_that_start_at_once_are_ready_in_time(
     state: str, ports: list[int], tmp_path: Path
 ) -> None:
-    """The second start comes after an outright end, with clients connected."""
+    """The second start follows SIGKILL, with clients connected."""
 
     async def scenario() -> None:
         async with discovery_port(state) as discovery:
--- a/tests/support/gateway_harness.py
+++ b/tests/support/gateway_harness.py
@@ -23,7 +23,7 @@
 from tests.support.resp_peer import LOCAL, RespPeer
 
 QUICK_SHUTDOWN = ShutdownSchedule(keep_serving_s=0.01, fail_requests_s=3.4)
-"""Gateways in tests have no front that still sends them connections."""
+"""No front sends further connections to a gateway in tests, so it need not keep serving."""
 
 SETTINGS: dict[str, Any] = {
     "az": "a",
@@ -96,9 +96,9 @@
         self.peers.append(peer)
         return peer
 
-    async def request(self, peer: RespPeer, **given: Any) -> Any:
-        """The reply to a request of this peer; `given` as for `request`."""
-        peer.send(*request_command(**given))
+    async def request(self, peer: RespPeer, **attributes: Any) -> Any:
+        """The reply to a request of this peer; `attributes` as for `request_command`."""
+        peer.send(*request_command(**attributes))
         return await peer.receive()
 
 
--- a/tests/support/gateway_process.py
+++ b/tests/support/gateway_process.py
@@ -40,7 +40,7 @@
 
 
 async def connect(port: int) -> RespPeer:
-    """A client's connection, as soon as there is somebody to accept it."""
+    """A client's connection, as soon as the gateway accepts it."""
     while True:
         try:
             return RespPeer(*await asyncio.open_connection(LOCAL, port))
@@ -49,7 +49,7 @@
 
 
 def reserve_port() -> socket.socket:
-    """A socket whose port nobody else is given while it is open, though a server may listen there.
+    """A socket that reserves its port while it is open, though a server may listen there.
 
     A port that is merely free may be given to any other process before the server listens.
     """
@@ -80,7 +80,7 @@
     command: Sequence[str] = COMMAND,
     stderr: int | IO[bytes] = asyncio.subprocess.PIPE,
 ) -> AsyncIterator[GatewayProcess]:
-    """A gateway process in a world whose servers, and the others, run as long as it does."""
+    """A gateway process; the harness's servers and the others run as long as it does."""
     with reserve_port() as reservation:
         async with running_servers(*harness.servers, *other_servers):
             port = port_of(reservation)
