--- a/benchmarks/capacity_slopes/backend_choice.py
+++ b/benchmarks/capacity_slopes/backend_choice.py
@@ -21,7 +21,7 @@
 """Requests a second of one gateway, in virtual time."""
 
 IN_FLIGHT = 20
-"""Attempts that are in flight at once."""
+"""Attempts in flight at any time."""
 
 ATTEMPT_MS = 75.0
 
@@ -30,11 +30,11 @@
 
 
 OpenAttempt = tuple[str, int, int]
-"""Request, number and backend of an attempt in flight; a bare tuple, as its making is measured too."""
+"""Request id, number and backend id of an attempt; a bare tuple, because its creation is timed too."""
 
 
 class BusyGateway:
-    """A gateway under load, whose subset is all that its list holds."""
+    """A gateway under load, whose subset is its whole endpoint list."""
 
     def __init__(self, backends: int, failure_rate: float) -> None:
         self.policy = make_policy(make_settings(), backends=backends)
@@ -44,11 +44,11 @@
         self._rng = random.Random(1)
 
     def serve(self, requests: int) -> None:
-        """Send so many requests, and end the oldest attempts of those over what is in flight."""
+        """Send so many requests, and end the oldest attempts beyond `IN_FLIGHT`."""
         for _ in range(requests):
             self._now += 1000 / REQUEST_RATE
             request_id = f"{int(self._now * 10):016x}"
-            # Events are made here: a builder's call would be measured as well.
+            # Created by position: keywords and a builder's call would be timed as well.
             arrived = RequestArrived(
                 request_id, REQUEST_CLASS, "free", "c", self._now + DEADLINE_MS, 1.0, 1, 0
             )
@@ -72,8 +72,8 @@
 
 def run() -> None:
     """Print a row for each size of the subset and rate of failures."""
-    print("A choice and a request, by the backends in a gateway's slice; 20 requests are out")
-    print_header("backends in the slice", "attempts that fail", "us a choice", "us a request")
+    print(f"A choice and a request, by the size of a gateway's subset; {IN_FLIGHT} attempts in flight")
+    print_header("backends in the subset", "failure rate", "us per choice", "us per request")
     for size in SUBSET_SIZES:
         for failure_rate in FAILURE_RATES:
             gateway = BusyGateway(size, failure_rate)
--- a/benchmarks/capacity_slopes/backend_statistics.py
+++ b/benchmarks/capacity_slopes/backend_statistics.py
@@ -1,4 +1,4 @@
-"""Scenario `marks`: what a policy keeps of one backend, where classes are as many as routes."""
+"""Scenario `scores`: the memory of one backend's outlier scores, where each route is a request class."""
 
 from __future__ import annotations
 
@@ -19,10 +19,14 @@
 
 
 def run() -> None:
-    """Print a row for each number of classes."""
-    print("Marks of one backend, by the number of classes and plans that it was met with")
+    """Print a row for each number of request classes."""
+    print("Outlier scores of one backend, by the number of request classes that it has served")
     print_header(
-        "classes", "bytes", "bytes a mark", "bytes a class in memory", "bytes a class in the configuration"
+        "request classes",
+        "bytes",
+        "bytes per score",
+        "bytes per class in memory",
+        "bytes per class in the configuration",
     )
     for count in CLASS_COUNTS:
         document: dict[str, Any] = {"classes": [class_entry(number) for number in range(count)]}
@@ -49,7 +53,7 @@
 
 
 def class_entry(number: int) -> dict[str, Any]:
-    """Return a class as the settings name it."""
+    """Return a request class in the form of the settings document."""
     return {
         "aim": 750.0,
         "deadline": 2500.0,
--- a/benchmarks/capacity_slopes/counter_calls.py
+++ b/benchmarks/capacity_slopes/counter_calls.py
@@ -1,4 +1,4 @@
-"""Scenario `counter`: the counter's calls for each request, by demand and by gateways of a customer."""
+"""Scenario `counter`: counter calls per request, by a customer's demand and the size of its gateway set."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from .tables import print_header, print_row
 from .virtual_fleet import VirtualFleet
 
-SPREADS = (2, 12, 100, 400)
-"""Gateways of a customer."""
+GATEWAY_SET_SIZES = (2, 12, 100, 400)
+"""Gateways that serve a customer."""
 
 RUN_S = 20
-"""Virtual time of a case."""
+"""Virtual duration of a case."""
 
 MIN_REQUESTS = 4_000
-"""Requests of a case, about."""
+"""Approximate number of requests of a case."""
 
 
 class Demand(NamedTuple):
-    """How a customer asks, and its plan: requests a second, units a second and units at once."""
+    """A customer's requests a second, and its plan: units a second, and the burst in units."""
 
     request_rate: float
     plan_rate: float
@@ -31,29 +31,29 @@
 
 
 def run() -> None:
-    """Print a row for each number of gateways and way of asking."""
-    print("Calls and bytes on the counter for each request; the counter answers each call")
+    """Print a row for each size of the gateway set and each demand."""
+    print("Calls and bytes at the counter per request; the counter responds to each call")
     print_header(
-        "gateways of a customer",
-        "asks a second",
-        "quota",
-        "burst",
+        "gateways per customer",
+        "requests per second",
+        "quota, units per second",
+        "burst, units",
         "requests",
-        "sent on",
-        "calls a request",
-        "bytes a request",
-        "bytes a call",
+        "forwarded, fraction",
+        "calls per request",
+        "bytes per request",
+        "bytes per call",
     )
-    for spread in SPREADS:
+    for set_size in GATEWAY_SET_SIZES:
         for demand in DEMANDS:
-            print_row(spread, *demand, *measure(spread, demand))
+            print_row(set_size, *demand, *measure(set_size, demand))
 
 
-def measure(spread: int, demand: Demand) -> tuple[object, ...]:
-    """Return the requests, and the parts of them that were forwarded, counted and sent as bytes."""
-    fleet = VirtualFleet(spread, metered_plan(demand.plan_rate, demand.burst))
+def measure(set_size: int, demand: Demand) -> tuple[object, ...]:
+    """Return the requests, the forwarded fraction, and the calls and bytes at the counter."""
+    fleet = VirtualFleet(set_size, metered_plan(demand.plan_rate, demand.burst))
     for number in range(math.ceil(MIN_REQUESTS / RUN_S / demand.request_rate)):
-        fleet.add_customer(f"{number:016x}", demand.request_rate, list(range(spread)))
+        fleet.add_customer(f"{number:016x}", demand.request_rate, list(range(set_size)))
     fleet.run(RUN_S)
     requests = fleet.counts["requests"]
     calls = fleet.counts["counter calls"]
--- a/benchmarks/capacity_slopes/counter_outage.py
+++ b/benchmarks/capacity_slopes/counter_outage.py
@@ -1,4 +1,4 @@
-"""Scenario `cut`: all gateways of customers lose the counter: what is forwarded, and what is owed after."""
+"""Scenario `outage`: the counter cannot be reached: usage forwarded meanwhile, and unreported afterwards."""
 
 from __future__ import annotations
 
@@ -10,20 +10,24 @@
 from .virtual_fleet import VirtualFleet
 
 CUSTOMERS = 12
-SPREADS = (2, 12, 100, 400, 1_850)
-"""Gateways of a customer."""
+
+GATEWAY_SET_SIZES = (2, 12, 100, 400, 1_850)
+"""Gateways that serve a customer."""
 
 REQUEST_RATES = (3.0, 12.0)
 """Requests a second of a customer: its quota, and four times that."""
 
 PLAN_RATE = 3.0
+"""Quota of a customer, in units a second."""
+
 BURST = 6.0
+"""Units that a customer may spend at once."""
 
 WARM_UP_S = 15
 
 
 class Phase(NamedTuple):
-    """A part of a case: how long it is, and whether the counter can be reached."""
+    """A phase of a case: its length, and whether the counter can be reached."""
 
     seconds: int
     is_counter_up: bool
@@ -34,29 +38,29 @@
 
 
 def run() -> None:
-    """Print a row for each number of gateways and rate of requests."""
-    print("Units sent on, as a part of the quota: with the counter, in a cut of 60 s from it, and after")
+    """Print a row for each size of the gateway set and rate of requests."""
+    print("Units forwarded, as a fraction of the quota: before, during and after a counter outage of 60 s")
     print_header(
-        "gateways of a customer",
-        "asks a second",
-        "quota",
-        "burst",
+        "gateways per customer",
+        "requests per second",
+        "quota, units per second",
+        "burst, units",
         "15 s before",
         "first 15 s",
-        "45 s after that",
-        "bursts untold at its end",
-        "15 s after the cut",
+        "next 45 s",
+        "unreported at its end, bursts per customer",
+        "15 s after",
     )
-    for spread in SPREADS:
+    for set_size in GATEWAY_SET_SIZES:
         for request_rate in REQUEST_RATES:
-            print_row(spread, request_rate, PLAN_RATE, BURST, *measure(spread, request_rate))
+            print_row(set_size, request_rate, PLAN_RATE, BURST, *measure(set_size, request_rate))
 
 
-def measure(spread: int, request_rate: float) -> list[float]:
-    """Return what each phase forwarded, as a part of the quota, and the unreported bursts before the last."""
-    fleet = VirtualFleet(spread, metered_plan(PLAN_RATE, BURST))
+def measure(set_size: int, request_rate: float) -> list[float]:
+    """Return the forwarded fraction of the quota in each phase; before the last, the unreported bursts."""
+    fleet = VirtualFleet(set_size, metered_plan(PLAN_RATE, BURST))
     for number in range(CUSTOMERS):
-        fleet.add_customer(f"{number:016x}", request_rate, list(range(spread)))
+        fleet.add_customer(f"{number:016x}", request_rate, list(range(set_size)))
     fleet.run(WARM_UP_S)
     figures: list[float] = []
     for phase in PHASES:
--- a/benchmarks/capacity_slopes/discovery_starts.py
+++ b/benchmarks/capacity_slopes/discovery_starts.py
@@ -1,4 +1,4 @@
-"""Scenario `starts`: calls that discovery gets as all gateways start together, where it is polled."""
+"""Scenario `starts`: the calls that a polled discovery gets when all gateways start together."""
 
 from __future__ import annotations
 
@@ -15,34 +15,34 @@
 GATEWAY_COUNTS = (40, 200, 3_700)
 
 SERVED_PER_SECOND = 50
-"""Calls that discovery serves; it rejects the others."""
+"""Calls a second that discovery serves; it rejects the others."""
 
 MAX_LIST_AGE_S = 10.0
-"""How old a list may be before it is polled for again."""
+"""Age of an endpoint list at which a gateway polls again."""
 
 RUN_S = 600.0
 """Virtual time of a case."""
 
 MAX_JITTER_S = 0.01
-"""Added to each wait: no two calls come at once."""
+"""Greatest random addition to each backoff, so that no two calls coincide."""
 
 
 def run() -> None:
     """Print a row for each size of the fleet."""
-    print("Calls of discovery at a start of all, 50 a second served, the list may be 10 s old")
+    print("Discovery calls when all gateways start together; 50 calls/s are served, poll interval 10 s")
     print_header(
         "gateways",
-        "calls in the worst second",
-        "turned away",
-        "until half have it, s",
-        "until all have it, s",
+        "calls in the busiest second",
+        "rejected",
+        "until half have the list, s",
+        "until all have the list, s",
     )
     for gateways in GATEWAY_COUNTS:
         print_row(gateways, *measure(gateways))
 
 
 def measure(gateways: int) -> tuple[object, ...]:
-    """Return the calls of the worst second, those rejected, and when half and all have the list."""
+    """Return the calls of the busiest second, those rejected, and when half and all have the list."""
     rng = random.Random(1)
     backoffs = [Backoff(gateways, MAX_LIST_AGE_S, random.Random(index)) for index in range(gateways)]
     queue = [(backoff.initial_delay(), index) for index, backoff in enumerate(backoffs)]
--- a/benchmarks/capacity_slopes/known_customers.py
+++ b/benchmarks/capacity_slopes/known_customers.py
@@ -1,9 +1,10 @@
-"""Scenario `customers`: a customer's memory and time at a gateway, by how many are known there."""
+"""Scenario `customers`: a customer's memory and processor time at a gateway, by the known customers."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from functools import partial
+from typing import NamedTuple
 
 from gateway.policy.actions import IncrementCounter, StartAttempt
 from gateway.policy.events import AttemptEnded, ClientDisconnected, CounterResponse, Outcome, RequestArrived
@@ -24,41 +25,56 @@
 from .tables import print_header, print_row
 
 RATE = 12.0
-"""The plan's units a second."""
+"""Quota of the plan, in units a second."""
 
-CASES = ((40, 2), (2, 12))
-"""Bursts, and gateways of a customer: local leases, and shared buckets."""
 
 CUSTOMER_COUNTS = (1_000, 10_000, 100_000)
 
 SAMPLE_SIZE = 2_000
-"""Customers whose requests are timed."""
+"""Customers whose requests are timed, about."""
 
 BACKENDS = 8
 REQUEST_INTERVAL_MS = 1_000.0
 
-PAID_UNITS = 6.0
-"""About half of what time has paid since the period began, so that a call is not taken for the first one."""
+EARLIER_USAGE = 6.0
+"""Units that the counter already has: about half of what the period has accrued.
+
+A total without earlier usage would be taken for that of a new period.
+"""
+
+
+class QuotaCase(NamedTuple):
+    """How a customer's quota is held, which depends on its burst and on its gateways."""
+
+    burst: int
+    gateways_per_customer: int
+
+
+LOCAL_LEASES = QuotaCase(burst=40, gateways_per_customer=2)
+SHARED_BUCKETS = QuotaCase(burst=2, gateways_per_customer=12)
+QUOTA_CASES = (LOCAL_LEASES, SHARED_BUCKETS)
 
 
 class KnownCustomers:
-    """A gateway that knows so many customers."""
+    """A gateway that has served so many customers."""
 
-    def __init__(self, count: int, *, burst: int, spread: int, counter_available: bool) -> None:
+    def __init__(self, count: int, quota: QuotaCase, *, counter_available: bool) -> None:
         settings = make_settings(
-            metered_plan(RATE, burst), gateways=spread, counter_available=counter_available
+            metered_plan(RATE, quota.burst),
+            gateways=quota.gateways_per_customer,
+            counter_available=counter_available,
         )
         self.policy = make_policy(settings, backends=BACKENDS)
-        self._spread = spread
+        self._gateways_per_customer = quota.gateways_per_customer
         self._now = START_MS
         self.send_requests(range(count))
 
     def send_requests(self, customers: Iterable[int]) -> None:
-        """Send a request of each, a second after the last; a counter call is due by then, and is answered."""
+        """Send a request of each, a second after the last; counter calls get their responses."""
         self._now += REQUEST_INTERVAL_MS
         postpone_cleanup(self.policy, self._now)
         for customer in customers:
-            # Events are made here: a builder's call would be measured as well.
+            # Created here: a builder's call would be timed as well.
             arrived = RequestArrived(
                 request_id=REQUEST_ID,
                 request_class=REQUEST_CLASS,
@@ -66,20 +82,20 @@
                 customer=f"{customer:016x}",
                 deadline=self._now + DEADLINE_MS,
                 cost=1.0,
-                gateway_set_size=self._spread,
+                gateway_set_size=self._gateways_per_customer,
                 gateway_set_start=0,
             )
             actions = self.policy.handle(self._now, arrived)
             for action in actions:
                 if isinstance(action, IncrementCounter):
-                    response = CounterResponse(action.name, Outcome.OK, PAID_UNITS + action.amount)
+                    response = CounterResponse(action.name, Outcome.OK, EARLIER_USAGE + action.amount)
                     actions += self.policy.handle(self._now, response)
                 elif isinstance(action, StartAttempt):
                     ended = AttemptEnded(REQUEST_ID, 0, action.backend_id, Outcome.OK, SERVICE_TIME_MS, True)
                     self.policy.handle(self._now + 0.001, ended)
 
     def search_idle(self) -> None:
-        """Send an arrival that finds the search for idle customers due; none is idle."""
+        """Send a request at whose arrival the search for idle customers is due; none is idle."""
         make_cleanup_due(self.policy)
         unknown = arrival(self._now, customer="", timeout_ms=1.0)
         self.policy.handle(self._now, unknown)
@@ -87,25 +103,25 @@
 
 
 def run() -> None:
-    """Print a row for each kind of customer and number of them."""
-    print("The customers that a gateway knows: local leases (burst 40) and shared buckets (burst 2)")
+    """Print a row for each kind of quota and number of customers."""
+    print("Known customers of a gateway: local leases (burst 40) and shared buckets (burst 2)")
     print_header(
-        "burst",
-        "gateways of a customer",
+        "burst, units",
+        "gateways per customer",
         "customers",
-        "bytes each",
-        "us a request",
-        "us with a counter call",
-        "us each to forget the idle ones",
+        "bytes per customer",
+        "us per request",
+        "us per request with a counter call",
+        "us per customer to search idle ones",
     )
-    for burst, spread in CASES:
+    for quota in QUOTA_CASES:
         for count in CUSTOMER_COUNTS:
-            print_row(*measure(count, burst, spread))
+            print_row(*quota, *measure(count, quota))
 
 
-def measure(count: int, burst: int, spread: int) -> tuple[object, ...]:
-    """Return the row of so many customers."""
-    create = partial(KnownCustomers, count, burst=burst, spread=spread)
+def measure(count: int, quota: QuotaCase) -> tuple[object, ...]:
+    """Return the number of customers, and the memory and processor time of each."""
+    create = partial(KnownCustomers, count, quota)
     size = retained_bytes(partial(create, counter_available=False)) // count
     without_counter = create(counter_available=False)
     with_counter = create(counter_available=True)
@@ -113,4 +129,4 @@
     request_us = min_cpu_us(partial(without_counter.send_requests, sample)) / len(sample)
     counted_request_us = min_cpu_us(partial(with_counter.send_requests, sample)) / len(sample)
     search_us = min_cpu_us(without_counter.search_idle) / count
-    return burst, spread, count, size, request_us, counted_request_us, search_us
+    return count, size, request_us, counted_request_us, search_us
--- a/benchmarks/capacity_slopes/listed_backends.py
+++ b/benchmarks/capacity_slopes/listed_backends.py
@@ -1,4 +1,4 @@
-"""Scenario `entry`: a listed backend on the wire, in the policy and in the pool, and one change of many."""
+"""Scenario `entry`: a listed backend on the wire, in the policy and in the pool, and a change of one."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from gateway.policy.events import Endpoint, EndpointState, EndpointUpdate, TimerFired, UpdateKind
 from gateway.policy.policy import GatewayPolicy
 from gateway.policy.timers import TimerKind, TimerToken
-from scale.fakes.discovery import encode_chunk
+from scale.fakes.discovery import HEARTBEAT, HEARTBEAT_INTERVAL_S, encode_chunk
 from scale.fakes.endpoint_list import encode_entry, encode_list, listed_backend
 
 from .measurement import min_cpu_us, peak_mb, retained_bytes
@@ -26,6 +26,7 @@
 LIST_SIZES = (1_000, 10_000, 39_000)
 LIST_VERSION = 1_000_000
 SLOW_RUNS = 3
+"""Repeats of work that takes long."""
 
 CONNECT_TIMEOUT_MS = 250.0
 KEEPALIVE_MS = 15_000.0
@@ -35,41 +36,46 @@
 
 
 class PoolCost(NamedTuple):
-    """What a list of backends costs the pool."""
+    """What an endpoint list costs the pool: bytes of memory, and the time of one sweep."""
 
     size: int
     sweep_us: float
 
 
 def run() -> None:
-    """Print a row for each length of the list."""
-    change = encode_snapshot_or_change([encoded_backend(1_000, "draining")], is_snapshot=False)
-    line_size = len(change) + 1
-    chunk_size = len(encode_chunk(change))
-    print(f"One change on the watch: {line_size} bytes, {chunk_size} with the chunk's frame;")
-    print("an empty line that shows that the watch lives: 6 bytes with the chunk's frame, in each 2 s")
-    print("The list of backends, by its length; 3,700 gateways")
+    """Print the size of a change, then a row for each length of the list."""
+    print_change_size()
+    print(f"The endpoint list, by its length; {FLEET_GATEWAYS:,} gateways")
     print_header(
-        "listed",
-        "bytes of a list",
-        "bytes each",
-        "ms to read it",
-        "MB held meanwhile",
-        "ms to take it",
-        "bytes each in memory",
-        "ms of one change",
-        "ms of a sweep of the pool",
+        "backends",
+        "bytes of the list",
+        "bytes per backend",
+        "ms to parse the list",
+        "peak MB while parsing",
+        "ms to apply the list",
+        "bytes per backend in memory",
+        "ms to apply one change",
+        "ms per sweep of the pool",
     )
     for count in LIST_SIZES:
         print_row(*measure(count))
 
 
+def print_change_size() -> None:
+    """Print how many bytes a change and a heartbeat take on the watch."""
+    change = encode_snapshot_or_change([encoded_backend(1_000, "draining")], is_snapshot=False)
+    line_size = len(change) + 1
+    chunk_size = len(encode_chunk(change))
+    print(f"One change on the watch: {line_size} bytes, {chunk_size} with its chunk framing;")
+    print(f"a heartbeat: {len(HEARTBEAT)} bytes with its chunk framing, every {HEARTBEAT_INTERVAL_S:g} s")
+
+
 def measure(count: int) -> tuple[object, ...]:
     """Return the row of a list of so many backends."""
     entries = [encoded_backend(number) for number in range(count)]
     text = encode_snapshot_or_change(entries, is_snapshot=True).decode()
-    read_us = min_cpu_us(partial(read_list, text), SLOW_RUNS)
-    read_peak_mb = peak_mb(partial(read_list, text))
+    parse_us = min_cpu_us(partial(parse_list, text), SLOW_RUNS)
+    parse_peak_mb = peak_mb(partial(parse_list, text))
     endpoints = make_endpoints(count)
     create_policy = partial(policy_with_list, endpoints)
     apply_us = min_cpu_us(create_policy, SLOW_RUNS)
@@ -81,8 +87,8 @@
         count,
         len(text),
         len(text) // count,
-        read_us / 1000,
-        read_peak_mb,
+        parse_us / 1000,
+        parse_peak_mb,
         apply_us / 1000,
         size,
         change_us / 1000,
@@ -91,7 +97,7 @@
 
 
 def encoded_backend(number: int, health: str = "up") -> bytes:
-    """Return the entry of backend `number`, as it goes on the wire."""
+    """Return the entry of backend `number` as it goes on the wire."""
     entry = listed_backend(
         f"s-{number:08x}",
         f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:6379",
@@ -103,18 +109,18 @@
 
 
 def encode_snapshot_or_change(entries: list[bytes], *, is_snapshot: bool) -> bytes:
-    """Return a list's JSON line."""
+    """Return the JSON line of a snapshot or of a change."""
     return encode_list(LIST_VERSION, entries, is_snapshot=is_snapshot)
 
 
-def read_list(text: str) -> None:
-    """Read a list as the endpoint watcher does, in parts."""
+def parse_list(text: str) -> None:
+    """Parse a list as the endpoint watcher does, in parts."""
     for hosts in iterate_array(text, "hosts", ENDPOINTS_PER_TURN, {}):
         parse_endpoints(hosts)
 
 
 def policy_with_list(endpoints: tuple[Endpoint, ...]) -> GatewayPolicy:
-    """Return a policy that has applied a whole list; the order of a long one is built in steps."""
+    """Return a policy that has applied a complete list; a long one is ordered in several steps."""
     policy = GatewayPolicy(make_settings(gateways=FLEET_GATEWAYS), 1)
     actions = policy.handle(START_MS, snapshot(endpoints))
     while actions:
@@ -123,7 +129,7 @@
 
 
 async def measure_pool(endpoints: tuple[Endpoint, ...]) -> PoolCost:
-    """Return the bytes that the pool keeps of the backends, and the time of its sweep of each second."""
+    """Return the memory that the pool takes for the backends, and the time of its periodic sweep."""
     loop = asyncio.get_running_loop()
     pool = BackendPool(
         loop,
@@ -141,7 +147,7 @@
 
 
 def add_to_pool(pool: BackendPool, endpoints: tuple[Endpoint, ...]) -> list[None]:
-    """Give the pool the addresses of all backends.
+    """Enter the addresses of all backends into the pool.
 
     The returned list counts as retained, with 8 bytes a backend: the figures of docs/CAPACITY.md include it.
     """
--- a/benchmarks/capacity_slopes/measurement.py
+++ b/benchmarks/capacity_slopes/measurement.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 DEFAULT_RUNS = 5
-"""Runs of which the least time counts: other work on the machine only adds to it."""
+"""Runs of which the least time counts, because other load on the machine only adds to it."""
 
 
 def min_cpu_us(work: Callable[[], object], runs: int = DEFAULT_RUNS) -> float:
@@ -22,7 +22,7 @@
 
 
 def retained_bytes(create: Callable[[], object]) -> int:
-    """Return the bytes that are kept of what `create` returns."""
+    """Return the bytes that what `create` returns takes."""
     gc.collect()
     tracemalloc.start()
     created = create()
@@ -34,7 +34,7 @@
 
 
 def peak_mb(work: Callable[[], object]) -> float:
-    """Return the most memory that is held during the work, in megabytes of a million bytes."""
+    """Return the peak memory allocated by the work, in MB of a million bytes."""
     tracemalloc.start()
     work()
     peak = tracemalloc.get_traced_memory()[1]
--- a/benchmarks/capacity_slopes/policies.py
+++ b/benchmarks/capacity_slopes/policies.py
@@ -1,4 +1,4 @@
-"""The policies that are measured: their settings, and the events they are given."""
+"""The policies that are measured: their settings, and the events that they handle."""
 
 from __future__ import annotations
 
@@ -20,18 +20,19 @@
 from scale.gateway_configuration import settings_document
 
 START_MS = 1_790_000_000_000.0
-"""Time at the start, in Unix milliseconds: the counter's names hold a period's number."""
+"""Time at the start, in Unix milliseconds; a real one, because the counter's names hold a period's number."""
 
 DEADLINE_MS = 2_500.0
-"""How long a client waits for its answer."""
+"""How long a client waits for its response."""
 
 SERVICE_TIME_MS = 50.0
-"""How long a backend takes."""
+"""How long a backend takes for a request."""
 
 BACKENDS_PER_CELL = 4
+"""Backends in one failure domain."""
 
 REQUEST_ID = "0123456789abcdef"
-"""Of requests that come one after another, so that one id does."""
+"""Id of requests that come one after another and can share it."""
 
 REQUEST_CLASS = "timetable-read"
 UNLIMITED_PLAN: dict[str, Any] = {"name": "free"}
@@ -49,7 +50,7 @@
 
 
 def metered_plan(rate: float, burst: float) -> dict[str, Any]:
-    """Return a plan of so many units a second and so many at once, in the settings' form."""
+    """Return a plan of so many units a second, in the form of the settings document."""
     return {"name": "plan", "rate": rate, "mostAtOnce": burst, "overrunCost": 1.0}
 
 
@@ -60,7 +61,7 @@
     gateways: int = 1,
     counter_available: bool = False,
 ) -> Settings:
-    """Return the settings of gateway `index` of so many, with one plan."""
+    """Return the settings of gateway `index` of `gateways`, with one plan."""
     document = settings_document(
         index,
         gateways,
@@ -75,14 +76,14 @@
 
 
 def make_policy(settings: Settings, *, backends: int, seed: int = 1) -> GatewayPolicy:
-    """Return a policy that has been given a list of so many backends."""
+    """Return a policy that has applied a list of so many backends."""
     policy = GatewayPolicy(settings, seed)
     policy.handle(START_MS, snapshot(make_endpoints(backends)))
     return policy
 
 
 def make_endpoints(count: int, started_at: float = 0.0) -> tuple[Endpoint, ...]:
-    """Return so many ready backends, which started at a time in Unix milliseconds."""
+    """Return so many ready backends; `started_at` is in Unix milliseconds."""
     ready = EndpointState.READY
     return tuple(
         Endpoint(backend_id_of(f"s-{number:08x}"), "a", number // BACKENDS_PER_CELL, started_at, ready)
@@ -91,11 +92,11 @@
 
 
 def snapshot(endpoints: tuple[Endpoint, ...]) -> EndpointUpdate:
-    """Return the event of a whole list."""
+    """Return the event of a complete list."""
     return EndpointUpdate(UpdateKind.SNAPSHOT, endpoints)
 
 
-def arrival(  # noqa: PLR0913 - one argument for each field that differs
+def arrival(  # noqa: PLR0913 - one argument for each field that varies
     now: float,
     *,
     request_id: str = REQUEST_ID,
@@ -108,12 +109,26 @@
 ) -> RequestArrived:
     """Return the event of a request that costs one unit."""
     return RequestArrived(
-        request_id, request_class, plan, customer, now + timeout_ms, 1.0, set_size, set_start
+        request_id=request_id,
+        request_class=request_class,
+        plan=plan,
+        customer=customer,
+        deadline=now + timeout_ms,
+        cost=1.0,
+        gateway_set_size=set_size,
+        gateway_set_start=set_start,
     )
 
 
 def success(
     backend_id: int, *, request_id: str = REQUEST_ID, duration_ms: float = SERVICE_TIME_MS
 ) -> AttemptEnded:
-    """Return the event of a first attempt that was served."""
-    return AttemptEnded(request_id, 0, backend_id, Outcome.OK, duration_ms, True)
+    """Return the event of a first attempt that succeeded."""
+    return AttemptEnded(
+        request_id=request_id,
+        attempt_number=0,
+        backend_id=backend_id,
+        outcome=Outcome.OK,
+        latency_ms=duration_ms,
+        request_finished=True,
+    )
--- a/benchmarks/capacity_slopes/tables.py
+++ b/benchmarks/capacity_slopes/tables.py
@@ -1,4 +1,4 @@
-"""Tables in the form of the pages that quote them."""
+"""Tables in Markdown, as docs/CAPACITY.md quotes them."""
 
 from __future__ import annotations
 
--- a/benchmarks/capacity_slopes/virtual_fleet.py
+++ b/benchmarks/capacity_slopes/virtual_fleet.py
@@ -1,4 +1,4 @@
-"""Gateways in virtual time, with a counter that answers each call and backends that serve all."""
+"""Gateways in virtual time, with a counter that responds to each call and backends that always succeed."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from .policies import SERVICE_TIME_MS, START_MS, arrival, make_policy, make_settings, success
 
 COUNTER_ONE_WAY_MS = 1.0
-"""On the way to the counter, and again back."""
+"""Network latency to the counter, and again back."""
 
 BACKENDS = 8
 
@@ -24,7 +24,7 @@
     """Gateways, their customers and their counter, driven by one queue of callbacks."""
 
     def __init__(self, gateways: int, plan: dict[str, Any], seed: int = 1) -> None:
-        """`plan` is the one of all customers, in the settings' form."""
+        """`plan` is that of all customers, in the form of the settings document."""
         self.now = START_MS
         self.is_counter_up = True
         self.counts: Counter[str] = Counter()
@@ -43,7 +43,7 @@
         ]
 
     def run(self, seconds: float) -> None:
-        """Let so much time pass."""
+        """Advance the virtual time, and run all callbacks that are due by then."""
         end = self.now + seconds * 1000
         while self._queue and self._queue[0][0] <= end:
             self.now, _, callback = heapq.heappop(self._queue)
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -1,6 +1,6 @@
-"""What one customer, one listed backend or one call more costs a gateway: the slopes of docs/CAPACITY.md.
+"""What each further customer, listed backend or counter call costs a gateway: the slopes of docs/CAPACITY.md.
 
-    python benchmarks/slopes.py customers|marks|pick|entry|counter|starts|cut
+    python benchmarks/slopes.py SCENARIO
 
 The scenarios are the modules of `capacity_slopes`, which lies beside this file.
 """
@@ -8,6 +8,8 @@
 from __future__ import annotations
 
 import argparse
+from collections.abc import Callable
+from typing import NamedTuple
 
 from capacity_slopes import (
     backend_choice,
@@ -19,22 +21,36 @@
     listed_backends,
 )
 
+DESCRIPTION = "Measure what each further customer, listed backend or counter call costs a gateway."
+
+
+class Scenario(NamedTuple):
+    """A scenario of the command line: its function, and what it measures."""
+
+    run: Callable[[], None]
+    measures: str
+
+
 SCENARIOS = {
-    "customers": known_customers.run,
-    "marks": backend_statistics.run,
-    "pick": backend_choice.run,
-    "entry": listed_backends.run,
-    "counter": counter_calls.run,
-    "starts": discovery_starts.run,
-    "cut": counter_outage.run,
+    "customers": Scenario(known_customers.run, "memory and processor time of each known customer"),
+    "scores": Scenario(backend_statistics.run, "memory of a backend's outlier scores, by request classes"),
+    "pick": Scenario(
+        backend_choice.run, "processor time of a choice and of a request, by size of the subset"
+    ),
+    "entry": Scenario(listed_backends.run, "bytes, memory and processor time of each listed backend"),
+    "counter": Scenario(counter_calls.run, "counter calls per request, by size of the gateway set"),
+    "starts": Scenario(discovery_starts.run, "calls of a polled discovery when all gateways start"),
+    "outage": Scenario(counter_outage.run, "requests forwarded while the counter cannot be reached"),
 }
 
 
 def main() -> None:
     """Run the scenario that the command line names."""
-    parser = argparse.ArgumentParser(description=__doc__.splitlines()[0] if __doc__ else None)
-    parser.add_argument("what", choices=SCENARIOS)
-    SCENARIOS[parser.parse_args().what]()
+    parser = argparse.ArgumentParser(description=DESCRIPTION)
+    scenarios = parser.add_subparsers(dest="scenario", metavar="SCENARIO", required=True)
+    for name, scenario in SCENARIOS.items():
+        scenarios.add_parser(name, help=scenario.measures)
+    SCENARIOS[parser.parse_args().scenario].run()
 
 
 if __name__ == "__main__":
--- a/scale/gateway_launcher.py
+++ b/scale/gateway_launcher.py
@@ -18,8 +18,8 @@
 START_TIMEOUT_S = 60.0
 """How long a gateway may take until it listens."""
 
-LISTENING = re.compile(r"(?:serves at|listens on|listening on|listening at) [\d.]+:(\d+)")
-"""The log line of a gateway that listens, with its port; checkouts of the program word it differently."""
+LISTENING = re.compile(r"serves at [\d.]+:(\d+)")
+"""The log line of a gateway that listens, with its port."""
 
 
 class LaunchedGateway:
--- a/tests/scale/test_slopes.py
+++ b/tests/scale/test_slopes.py
@@ -7,7 +7,7 @@
 import pytest
 import slopes
 from capacity_slopes.backend_choice import BusyGateway
-from capacity_slopes.known_customers import KnownCustomers
+from capacity_slopes.known_customers import SHARED_BUCKETS, KnownCustomers
 from capacity_slopes.policies import metered_plan
 from capacity_slopes.policy_internals import (
     known_customers,
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 def thinly_spread_counts() -> dict[str, int]:
-    """Counts of a customer of 30 gateways that asks for four times its quota, for 30 s."""
+    """Counts of a customer of 30 gateways that demands four times its quota, for 30 s."""
     fleet = VirtualFleet(30, metered_plan(rate=2.0, burst=4.0))
     fleet.add_customer("0123456789abcdef", 8.0, list(range(30)))
     fleet.run(30)
@@ -44,18 +44,18 @@
     assert 60 < thinly_spread_counts["counter bytes"] / thinly_spread_counts["counter calls"] < 90
 
 
-def test_all_known_customers_are_served_and_kept() -> None:
-    known = KnownCustomers(50, burst=2, spread=12, counter_available=True)
+def test_all_known_customers_are_served_and_remembered() -> None:
+    known = KnownCustomers(50, SHARED_BUCKETS, counter_available=True)
 
     known.send_requests(range(50))
     known.search_idle()
 
-    assert known_customers(known.policy) == 51  # with the one that asks last
+    assert known_customers(known.policy) == 51  # with the customer that makes the search due
     assert open_requests(known.policy) == 0
     assert pending_counter_calls(known.policy) == 0
 
 
-def test_a_choice_is_made_among_the_whole_subset() -> None:
+def test_a_choice_is_made_among_all_backends_of_the_subset() -> None:
     gateway = BusyGateway(12, failure_rate=0.2)
 
     gateway.serve(400)
