--- a/benchmarks/capacity_slopes/policies.py
+++ b/benchmarks/capacity_slopes/policies.py
@@ -86,7 +86,13 @@
     """Return so many ready backends; `started_at` is in Unix milliseconds."""
     ready = EndpointState.READY
     return tuple(
-        Endpoint(backend_id_of(f"s-{number:08x}"), "a", number // BACKENDS_PER_CELL, started_at, ready)
+        Endpoint(
+            backend_id=backend_id_of(f"s-{number:08x}"),
+            zone="a",
+            cell=number // BACKENDS_PER_CELL,
+            started_at=started_at,
+            state=ready,
+        )
         for number in range(count)
     )
 
--- a/scale/environment.py
+++ b/scale/environment.py
@@ -60,12 +60,7 @@
         discovery = await supervisor.start("fakes")
         counter = await supervisor.start("fakes")
         backend_worker = await supervisor.start("fakes") if with_backends else None
-        ports = [CLOSED_PORT]
-        if backend_worker is not None:
-            port_count = min(MAX_BACKEND_PORTS, backends)
-            ports = await backend_worker.call(
-                "start_backends", ports=port_count, latency_ms=BACKEND_LATENCY_MS
-            )
+        ports = [CLOSED_PORT] if backend_worker is None else await start_backends(backend_worker, backends)
         return cls(
             supervisor=supervisor,
             discovery=discovery,
@@ -139,6 +134,13 @@
         return [worker for worker in workers if worker is not None]
 
 
+async def start_backends(worker: WorkerProcess, backends: int) -> list[int]:
+    """Start the fake backends of a list of so many; return their ports."""
+    port_count = min(MAX_BACKEND_PORTS, backends)
+    ports: list[int] = await worker.call("start_backends", ports=port_count, latency_ms=BACKEND_LATENCY_MS)
+    return ports
+
+
 async def send_load(clients: WorkerProcess, *, rate: float, seconds: float) -> LoadSummary:
     """Let the clients send `rate` requests a second over all real gateways; return what became of them."""
     summary: LoadSummary = await clients.call_lasting(seconds, "run", rate=rate, seconds=seconds)
--- a/scale/event_loop_probe.py
+++ b/scale/event_loop_probe.py
@@ -17,8 +17,7 @@
     def _reset(self) -> None:
         self.max_wall_ms = 0.0
         self.max_cpu_ms = 0.0
-        self.update_cpu_ms: list[float] = []
-        """Processor time of the stalls in which a part of the list was applied."""
+        self.update_cpu_ms: list[float] = []  # of the stalls in which a part of the list was applied
         self._saw_update = False
 
     def begin(self) -> None:
--- a/scale/fleet_run.py
+++ b/scale/fleet_run.py
@@ -6,25 +6,19 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 from itertools import product
-from pathlib import Path
 from typing import Any, NamedTuple
 
 from rich.console import Console
 
 from .customers import CustomerPopulation
-from .environment import START_TIMEOUT_S, Environment, send_load
-from .figures import (
-    Announcement,
-    HollowFigures,
-    HollowStartFigures,
-    LaunchedGatewayFigures,
-    LoadSummary,
-)
+from .environment import Environment, send_load
+from .figures import Announcement, LaunchedGatewayFigures, LoadSummary
 from .fleet_options import FleetOptions
+from .hollow_processes import HollowProcesses, HollowTotals
 from .machine import resident_mb
 from .propagation import PropagationSummary, announced_changes, sample_changes, summarize_propagation
 from .result import Result
-from .supervisor import CALL_TIMEOUT_S, Supervisor, WorkerProcess
+from .supervisor import Supervisor, WorkerProcess
 
 BURST_DELAY_S = 0.1
 """From the first request of a burst's window to the burst."""
@@ -37,33 +31,10 @@
 
 
 class FleetCounts(NamedTuple):
-    """What the fakes counted in a phase, and what the processes of hollow gateways took."""
+    """What the fakes counted in a phase, and what the hollow gateways took."""
 
     services: dict[str, Any]
-    hollow: list[HollowFigures]
-
-    def sent(self) -> int:
-        """Return the requests of all hollow gateways."""
-        return sum(process["sent"] for process in self.hollow)
-
-    def served(self) -> int:
-        """Return the served requests of all hollow gateways."""
-        return sum(process["served"] for process in self.hollow)
-
-    def rss_mb(self) -> float:
-        """Return the resident memory of all processes of hollow gateways."""
-        return sum(process["rss_mb"] for process in self.hollow)
-
-    def cpu_ms_per_s(self) -> float:
-        """Return the processor time of all hollow gateways, in milliseconds a second."""
-        return sum(process["cpu_s"] / process["seconds"] for process in self.hollow) * 1000
-
-
-class HollowGateways(NamedTuple):
-    """The processes of hollow gateways, and the memory that the state of each gateway takes."""
-
-    workers: list[WorkerProcess]
-    state_mb: float
+    hollow: HollowTotals
 
 
 class SteadyPhaseOutcome(NamedTuple):
@@ -81,7 +52,7 @@
     options: FleetOptions
     result: Result
     environment: Environment
-    hollow: HollowGateways
+    hollow: HollowProcesses
     clients: WorkerProcess
     real_pids: list[int]
 
@@ -94,20 +65,19 @@
             supervisor, backends=options.backends, seed=options.seed, stall_ms=options.stall_ms
         )
         configs = [environment.config(index, options.fleet) for index in range(options.started_gateways)]
-        hollow = await start_hollow_gateways(
-            supervisor, program, configs[: options.hollow_gateways], options.hollow_processes
+        hollow = await HollowProcesses.start(
+            supervisor,
+            program,
+            configs[: options.hollow_gateways],
+            processes=options.hollow_processes,
         )
         real: list[LaunchedGatewayFigures] = []
         if options.real_gateways:
             real = await environment.launch_gateways(program, configs[options.hollow_gateways :])
-        customers = CustomerPopulation(
-            count=max(options.customers),
-            gateways=options.fleet,
-            gateways_per_customer=min(options.gateways_per_customer),
-            seed=options.seed,
-        )
         clients = await environment.start_clients(
-            [gateway["port"] for gateway in real], customers, first_gateway=options.hollow_gateways
+            [gateway["port"] for gateway in real],
+            client_population(options),
+            first_gateway=options.hollow_gateways,
         )
         await environment.wait_for_watches(options.started_gateways)
         return cls(
@@ -146,16 +116,11 @@
 
     async def _begin(self) -> None:
         await self.environment.begin(self.clients)
-        await self._call_hollow("begin")
+        await self.hollow.begin()
 
     async def _read(self) -> FleetCounts:
         services = await self.environment.read(self.result, "in the fleet", self.clients)
-        return FleetCounts(services, await self._call_hollow("read"))
-
-    async def _call_hollow(self, method: str, *, lasting_s: float = 0.0, **arguments: Any) -> list[Any]:
-        """Call a method of all processes of hollow gateways, which takes `lasting_s` by itself."""
-        calls = (worker.call_lasting(lasting_s, method, **arguments) for worker in self.hollow.workers)
-        return await asyncio.gather(*calls)
+        return FleetCounts(services, await self.hollow.read())
 
     async def _send_load(self, seconds: float) -> LoadSummary | None:
         """Send requests to the real gateways; None where there are none."""
@@ -172,12 +137,12 @@
         )
         announcements, requests = await asyncio.gather(announced, self._send_load(seconds))
         counts = await self._read()
-        hollow_gateways = max(1, self.options.hollow_gateways)
+        hollow_gateways = self.options.hollow_gateways
         discovery_bytes = counts.services["discovery"]["sent"]
         per_gateway = {
-            "cpu_ms_per_s": counts.cpu_ms_per_s() / hollow_gateways,
+            "cpu_ms_per_s": counts.hollow.cpu_ms_per_s / hollow_gateways,
             "state_mb": self.hollow.state_mb,
-            "rss_mb": counts.rss_mb() / hollow_gateways,
+            "rss_mb": counts.hollow.rss_mb / hollow_gateways,
             "discovery_bytes_per_s": discovery_bytes / seconds / self.options.started_gateways,
         }
         return SteadyPhaseOutcome(announcements, requests, per_gateway)
@@ -200,19 +165,8 @@
         timeout_s = self.options.change_timeout_s
         changes = announced_changes(announcements)
         sample = sample_changes(changes)
-        delays_by_process: list[list[list[float]]] = await self._call_hollow(
-            "propagation_delays",
-            lasting_s=timeout_s,
-            hosts=[change.host for change in sample],
-            announced_at=[change.at for change in sample],
-            wait_s=timeout_s,
-        )
-        delays_by_change = [
-            [delay_ms for delays in delays_by_process for delay_ms in delays[place]]
-            for place in range(len(sample))
-        ]
         return summarize_propagation(
-            delays_by_change,
+            await self.hollow.propagation_delays(sample, timeout_s),
             changes=len(changes),
             gateways=self.options.hollow_gateways,
             timeout_s=timeout_s,
@@ -238,40 +192,29 @@
         """Send requests of some customers to all hollow gateways; return what the counter got."""
         seconds = self.options.phase_s
         await self._begin()
-        await self._call_hollow(
-            "send_requests",
-            lasting_s=seconds,
-            customers=customers,
-            rate=self.options.hollow_request_rate,
-            seconds=seconds,
-        )
+        await self.hollow.send_requests(customers, rate=self.options.hollow_request_rate, seconds=seconds)
         counts = await self._read()
-        sent = counts.sent()
-        hollow_gateways = max(1, self.options.hollow_gateways)
+        sent = counts.hollow.sent
+        hollow_gateways = self.options.hollow_gateways
         counter = counts.services["counter"]
         counter_bytes = counter["sent"] + counter["received"]
         return {
             "customers": customers.count,
             "gateways_per_customer": customers.gateways_per_customer,
             "requests": sent,
-            "served": counts.served(),
+            "served": counts.hollow.served,
             "calls_per_request": counter["calls"] / sent if sent else 0.0,
             "counter_bytes_per_s": counter_bytes / seconds / hollow_gateways,
-            "cpu_ms_per_s": counts.cpu_ms_per_s() / hollow_gateways,
-            "rss_mb": counts.rss_mb() / hollow_gateways,
+            "cpu_ms_per_s": counts.hollow.cpu_ms_per_s / hollow_gateways,
+            "rss_mb": counts.hollow.rss_mb / hollow_gateways,
         }
 
 
-async def start_hollow_gateways(
-    supervisor: Supervisor, program: str, configs: Sequence[dict[str, Any]], processes: int
-) -> HollowGateways:
-    """Start a hollow gateway for each configuration, spread over so many processes."""
-    by_process = [configs[place::processes] for place in range(min(processes, len(configs)))]
-    workers = [await supervisor.start("hollow", Path(program)) for _ in by_process]
-    starts = (
-        worker.call("start", configs=part, timeout_s=START_TIMEOUT_S + len(part) * CALL_TIMEOUT_S)
-        for worker, part in zip(workers, by_process, strict=True)
+def client_population(options: FleetOptions) -> CustomerPopulation:
+    """Return the customers whose clients call the real gateways."""
+    return CustomerPopulation(
+        count=max(options.customers),
+        gateways=options.fleet,
+        gateways_per_customer=min(options.gateways_per_customer),
+        seed=options.seed,
     )
-    figures: list[HollowStartFigures] = await asyncio.gather(*starts)
-    grown_mb = sum(process["after_mb"] - process["before_mb"] for process in figures)
-    return HollowGateways(workers, grown_mb / max(1, len(configs)))
--- /dev/null
+++ b/scale/runner.py
@@ -0,0 +1,58 @@
+"""Runs a scenario until it is complete or interrupted, and delivers its result."""
+
+from __future__ import annotations
+
+import asyncio
+import signal
+from collections.abc import Callable
+from typing import Protocol
+
+from rich.console import Console
+
+from .result import Result, ResultFile
+
+ResultPrinter = Callable[[Console, Result], None]
+"""Prints the result of a scenario for people."""
+
+INTERRUPT_SIGNALS = (signal.SIGINT, signal.SIGTERM)
+"""Signals that end a run early, in order and with all its processes."""
+
+PIPE_COLUMNS = 150
+"""Width of a table that goes to a file or a pipe."""
+
+
+class Scenario(Protocol):
+    """What a command runs."""
+
+    def check(self) -> None:
+        """Raise UsageError for sizes that this machine cannot carry."""
+
+    async def run(self, progress: Console) -> Result:
+        """Measure; raise RunError where a process fails."""
+
+
+async def run_interruptibly(scenario: Scenario, progress: Console) -> Result:
+    """Run a scenario until it is complete or a signal cancels it; all its processes have exited either way.
+
+    The handlers replace the inherited dispositions: a shell without job control starts background jobs with
+    SIGINT ignored, and asyncio's own handler leaves an ignored SIGINT ignored.
+    """
+    task = asyncio.current_task()
+    assert task is not None
+    loop = asyncio.get_running_loop()
+    for signum in INTERRUPT_SIGNALS:
+        loop.add_signal_handler(signum, task.cancel)
+    return await scenario.run(progress)
+
+
+def run_scenario(scenario: Scenario, print_result: ResultPrinter, json_file: str | None) -> None:
+    """Check and run a scenario, write its JSON and print its result."""
+    scenario.check()
+    file = ResultFile(json_file)
+    progress = Console(stderr=True, highlight=False)
+    result = asyncio.run(run_interruptibly(scenario, progress))
+    file.write(result)
+    output = Console(highlight=False)
+    if not output.is_terminal:
+        output = Console(highlight=False, width=PIPE_COLUMNS)
+    print_result(output, result)
--- a/scale/worker_protocol.py
+++ b/scale/worker_protocol.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 MAX_LINE_BYTES = 256 * 1024 * 1024
-"""Longest message, in bytes: a fleet's figures for a thousand changes come in one."""
+"""Longest message, in bytes: the propagation delays of a thousand changes are one message."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
--- a/tests/scale/scale_process.py
+++ b/tests/scale/scale_process.py
@@ -85,7 +85,7 @@
         return self.live_processes()
 
     def wait_until_gone(self) -> None:
-        """Wait until no process is left; the test's time-out ends a wait in vain."""
+        """Wait until no process is left; the test's time-out ends a wait that never does."""
         while self.live_processes():
             time.sleep(POLL_INTERVAL_S)
 
