--- a/gateway/network/counter/call.py
+++ b/gateway/network/counter/call.py
@@ -14,9 +14,9 @@
 
 
 class CounterCall:
-    """One call; the first result it is given is its result."""
+    """One call; it completes once, and later results are ignored."""
 
-    __slots__ = ("_on_completed", "name", "on_response", "request_line", "result", "timer")
+    __slots__ = ("_on_completed", "_timeout_timer", "name", "on_response", "request_line", "result")
 
     def __init__(
         self,
@@ -25,19 +25,26 @@
         on_response: ResponseCallback,
         on_completed: Callable[[str], None],
     ) -> None:
-        """`on_completed` is called with the name once the result is known, `on_response` is left to it."""
+        """`on_completed` is called with the name on completion, and has to call `on_response` in turn."""
         self.name = name
         self.request_line = request_line
         self.on_response = on_response
         self.result: CounterResult | None = None
-        self.timer: Timer | None = None
+        self._timeout_timer: Timer | None = None
         self._on_completed = on_completed
 
+    def set_timeout_timer(self, timer: Timer) -> None:
+        """Take over the timer of the call's time-out, which is cancelled on completion."""
+        if self.result is not None:
+            timer.cancel()
+            return
+        self._timeout_timer = timer
+
     def complete(self, result: CounterResult) -> None:
-        """Set the result and cancel the time-out; does nothing if the call has a result already."""
+        """Set the result and cancel the time-out; does nothing if the call has completed before."""
         if self.result is not None:
             return
         self.result = result
-        if self.timer is not None:
-            self.timer.cancel()
+        if self._timeout_timer is not None:
+            self._timeout_timer.cancel()
         self._on_completed(self.name)
--- a/gateway/network/counter/channel.py
+++ b/gateway/network/counter/channel.py
@@ -1,4 +1,4 @@
-"""The calls whose names share a connection to the counter service."""
+"""A channel to the counter service: the calls of the names that share one connection."""
 
 from __future__ import annotations
 
@@ -13,9 +13,11 @@
 from .connection import CloseReason, CounterConnection
 from .protocol import CounterResult
 
+MS_PER_S = 1000.0
+
 
 class CounterChannel:
-    """Writes calls to one connection, so that responses for one name keep the order of its calls.
+    """Writes calls to one connection, so that the responses for a name keep the order of its calls.
 
     The connection is opened when a call needs it; calls of one turn of the event loop are written together.
     """
@@ -27,13 +29,13 @@
         connect_timeout_ms: float,
         on_connection_failed: Callable[[CloseReason], None],
     ) -> None:
-        """`on_connection_failed` is called for each connection that had to be closed by a fault."""
+        """`on_connection_failed` is called for each connection that is closed after a fault."""
         self.address = address
         self.connection: CounterConnection | None = None
         self.draining: set[CounterConnection] = set()
-        """Connections to earlier addresses that still owe responses."""
+        """Connections to earlier addresses with unanswered calls."""
         self.unwritten: list[CounterCall] = []
-        """Calls that wait for a connection, or for the end of this turn of the event loop."""
+        """Calls that wait for a connection or for the end of this turn of the event loop."""
         self.connecting: asyncio.Task[None] | None = None
         self.is_flush_scheduled = False
         self._loop = loop
@@ -48,36 +50,42 @@
             self._loop.call_soon(self._flush)
 
     def expire(self, call: CounterCall) -> None:
-        """End a call whose time is over: only one that was written may have been added."""
+        """Time out a call. One that was not written added nothing and ends as a connect error."""
         is_written = call not in self.unwritten
         call.complete(CounterResult(Outcome.TIMED_OUT if is_written else Outcome.CONNECT_ERROR))
 
     def move_to(self, address: Address) -> None:
-        """Use another address; responses that the old one owes are still read, unwritten calls move on."""
+        """Use another address for unwritten calls; outstanding responses of the old one are still read."""
         self.address = address
         if self.connecting is not None:
             self.connecting.cancel()
             self.connecting = None
-        if self.connection is not None and not self.connection.is_closed:
-            if self.connection.unanswered:
-                self.draining.add(self.connection)
-            else:
-                self.connection.close()
-        self.connection = None
+        self._drain_connection()
         self._flush()
 
     def close(self) -> None:
-        """Close the connection to the current address; calls that it has not answered time out."""
+        """Close the connection to the current address; its unanswered calls time out."""
         if self.connecting is not None:
             self.connecting.cancel()
         if self.connection is not None:
             self.connection.close()
 
     def close_draining(self) -> None:
-        """Close the connections to earlier addresses; calls that they have not answered time out."""
+        """Close the connections to earlier addresses; their unanswered calls time out."""
         for connection in list(self.draining):
             connection.close()
 
+    def _drain_connection(self) -> None:
+        """Write no more calls to the connection, and keep it open only while calls on it are unanswered."""
+        connection = self.connection
+        self.connection = None
+        if connection is None or connection.is_closed:
+            return
+        if connection.unanswered:
+            self.draining.add(connection)
+        else:
+            connection.close()
+
     def _flush(self) -> None:
         self.is_flush_scheduled = False
         self.unwritten = [call for call in self.unwritten if call.result is None]
@@ -98,7 +106,7 @@
         host, port = self.address
         create = partial(CounterConnection, self._on_connection_failed, self.draining.discard)
         try:
-            async with asyncio.timeout(self._connect_timeout_ms / 1000):
+            async with asyncio.timeout(self._connect_timeout_ms / MS_PER_S):
                 _, self.connection = await self._loop.create_connection(create, host, port)
         except OSError:  # also TimeoutError
             self._fail_unwritten()
@@ -107,7 +115,7 @@
         self._flush()
 
     def _fail_unwritten(self) -> None:
-        """End the calls that were never written: nothing was added."""
+        """End the calls that are not written as connect errors: they added nothing."""
         calls = self.unwritten
         self.unwritten = []
         for call in calls:
--- a/gateway/network/counter/client.py
+++ b/gateway/network/counter/client.py
@@ -1,4 +1,4 @@
-"""The client of the counter service, which keeps totals that all gateways share."""
+"""The client of the counter service, which keeps the totals that all gateways share."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 log = logging.getLogger(__name__)
 
 CHANNEL_COUNT = 4
-"""Connections to the counter: a slow part of it delays only the responses behind it on one of them."""
+"""Connections to the counter. A response that is late delays only those behind it on its connection."""
 
 SUMMARY_INTERVAL_MS = 1_000.0
-"""Time between two log lines about connections that were closed by a fault."""
+"""Least time, in milliseconds, between two log lines about connections closed after a fault."""
 
 
 class CounterClient:
-    """Adds to named totals. Every call gets exactly one response, in the order of the calls of its name."""
+    """Adds to named totals. Each call gets exactly one response, in the order of the calls for its name."""
 
     def __init__(
         self,
@@ -35,20 +35,20 @@
         address: Address,
         call_timeout_ms: float,
     ) -> None:
-        """`call_timeout_ms` bounds each call, and each attempt to connect."""
+        """`call_timeout_ms` bounds each call, and each connect."""
         self.address = address
         self.channels = [
             CounterChannel(loop, address, call_timeout_ms, self._count_failure) for _ in range(CHANNEL_COUNT)
         ]
         self.unreported_calls: dict[str, deque[CounterCall]] = {}
-        """By name, the oldest first."""
+        """Calls whose response has not been reported, by name, the oldest first."""
         self._timers = timers
         self._call_timeout_ms = call_timeout_ms
         self._close_reasons: Counter[CloseReason] = Counter()
         timers.call_at(now_ms() + SUMMARY_INTERVAL_MS, self._log_failures)
 
     def move_to(self, address: Address) -> None:
-        """Use another address from now on; responses owed by the old one are still read."""
+        """Use another address from now on; outstanding responses of the old one are still read."""
         if address == self.address:
             return
         self.address = address
@@ -69,10 +69,11 @@
         self.unreported_calls.setdefault(name, deque()).append(call)
         channel = self.channels[zlib.crc32(encoded_name) % len(self.channels)]
         channel.add(call)
-        call.timer = self._timers.call_at(now_ms() + self._call_timeout_ms, partial(channel.expire, call))
+        expires_at = now_ms() + self._call_timeout_ms
+        call.set_timeout_timer(self._timers.call_at(expires_at, partial(channel.expire, call)))
 
     def close(self) -> None:
-        """Close all connections; calls that are not answered time out."""
+        """Close all connections; unanswered calls time out."""
         for channel in self.channels:
             channel.close()
         for channel in self.channels:
@@ -81,8 +82,9 @@
     def _report_completed_calls(self, name: str) -> None:
         """Report the outcomes of a name's calls in the order of the calls.
 
-        The policy knows a call by its name only, and a call to a new address or over a new connection can
-        complete before an older one. It waits for that one, which completes at its time-out at the latest.
+        The policy matches responses to calls by name and order alone, and a call to a new address or over a
+        new connection can complete before an older one. Its response is held back until that one completes,
+        at its time-out at the latest.
         """
         calls = self.unreported_calls[name]
         while calls and (result := calls[0].result) is not None:
@@ -95,12 +97,11 @@
 
     def _log_failures(self) -> None:
         if self._close_reasons:
-            host, port = self.address
+            reasons = ", ".join(f"{reason.value}: {count}" for reason, count in self._close_reasons.items())
             log.warning(
-                "connections to the counter at %s:%d closed (%s); their unanswered calls count as timed out",
-                host,
-                port,
-                ", ".join(f"{reason.value}: {count}" for reason, count in self._close_reasons.items()),
+                "connections to the counter at %s closed (%s); their unanswered calls count as timed out",
+                self.address,
+                reasons,
             )
             self._close_reasons.clear()
         self._timers.call_at(now_ms() + SUMMARY_INTERVAL_MS, self._log_failures)
--- a/gateway/network/counter/connection.py
+++ b/gateway/network/counter/connection.py
@@ -14,23 +14,23 @@
 from .call import CounterCall
 from .protocol import CounterResult, parse_response
 
-SILENCE_TIMEOUT_MS = 300.0
-"""A connection with unanswered calls that has sent nothing for this long counts as lost."""
+INACTIVITY_TIMEOUT_MS = 300.0
+"""Longest time, in milliseconds, without a byte on a connection with unanswered calls before it is closed."""
 
 IDLE_CLOSE_MS = 3_000.0
-"""A connection unused for this long is closed, before the counter closes it under a call."""
+"""Idle time, in milliseconds, after which a connection is not used again: the counter may be closing it."""
 
 MAX_UNANSWERED_CALLS = 1_000
-"""Calls written to one connection and not answered yet."""
+"""Most calls that are written to one connection and unanswered."""
 
 MAX_LINE_BYTES = 64
-"""Bytes of a response that is not complete yet; a total has seven digits."""
+"""Longest incomplete response, in bytes, that is buffered."""
 
 
 class CloseReason(Enum):
-    """Why a connection was closed that could not be used any more, as the log words it."""
+    """Why a connection was closed after a fault; the value is its wording in the log."""
 
-    SILENT = "no response in time"
+    UNRESPONSIVE = "no response in time"
     TOO_MANY_UNANSWERED = "too many unanswered calls"
     UNSOLICITED_RESPONSE = "response without a call"
     MALFORMED_RESPONSE = "malformed response"
@@ -38,14 +38,14 @@
 
 
 class CounterConnection(asyncio.Protocol):
-    """Pipelined calls; each response belongs to the oldest unanswered call, however late it comes."""
+    """Pipelines calls: each response belongs to the oldest unanswered call, however late it arrives."""
 
     def __init__(
         self,
         on_failed: Callable[[CloseReason], None],
         on_lost: Callable[[CounterConnection], None],
     ) -> None:
-        """`on_failed` is called before this connection closes by a fault, `on_lost` once it is closed."""
+        """`on_failed` is called before this connection closes after a fault, `on_lost` once it is closed."""
         self.transport: asyncio.Transport | None = None
         self.unanswered: deque[CounterCall] = deque()
         self.is_closed = False
@@ -56,11 +56,11 @@
         self._partial_line = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Take the transport, as asyncio connects."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
 
     def write(self, calls: list[CounterCall]) -> None:
-        """Write the calls, which expect their responses in this order."""
+        """Write the calls; their responses arrive in this order."""
         assert self.transport is not None
         now = now_ms()
         if not self.unanswered:
@@ -70,11 +70,11 @@
         self.transport.write(b"".join(call.request_line for call in calls))
 
     def close_if_unusable(self) -> None:
-        """Close a connection that has gone silent, is too far behind or was idle for too long."""
+        """Close a connection that is unresponsive, has too many unanswered calls or was idle too long."""
         now = now_ms()
-        # The counter's machine may have vanished: such a connection stays open and silent for ever.
-        if self.unanswered and now - self.last_received_at > SILENCE_TIMEOUT_MS:
-            self.fail(CloseReason.SILENT)
+        # A peer that was cut off sends neither FIN nor RST: only the missing responses show it.
+        if self.unanswered and now - self.last_received_at > INACTIVITY_TIMEOUT_MS:
+            self.fail(CloseReason.UNRESPONSIVE)
         elif len(self.unanswered) >= MAX_UNANSWERED_CALLS:
             self.fail(CloseReason.TOO_MANY_UNANSWERED)
         elif not self.unanswered and now - self.last_written_at > IDLE_CLOSE_MS:
@@ -92,16 +92,16 @@
                 return
             result = parse_response(line)
             if result is None:
-                # Neither this call's total nor whether the next line answers the next call is known.
+                # After a malformed line, responses cannot be matched to calls any more.
                 self.fail(CloseReason.MALFORMED_RESPONSE)
                 return
-            # A late response belongs to its own call, which has timed out, and not to the next one.
+            # A call that has timed out keeps its place, so that its late response is not taken for another's.
             self.unanswered.popleft().complete(result)
         if len(self._partial_line) > MAX_LINE_BYTES:
             self.fail(CloseReason.LINE_TOO_LONG)
 
     def fail(self, reason: CloseReason) -> None:
-        """Close a connection that cannot be used any more, and report the reason."""
+        """Report the reason and close the connection, which cannot be used any more."""
         if self.is_closed:
             return
         self._on_failed(reason)
@@ -117,7 +117,7 @@
         self._time_out_unanswered()
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio's signature
-        """Time out the calls that a connection closed by the counter leaves unanswered."""
+        """Time out the calls that are unanswered as the counter closes the connection."""
         self.is_closed = True
         self._on_lost(self)
         self._time_out_unanswered()
--- a/tests/network/backends/test_backend_pool.py
+++ b/tests/network/backends/test_backend_pool.py
@@ -18,11 +18,10 @@
     VALUE_REPLY,
     RecordedAttempt,
     open_pool,
-    runs_in_loop,
     scripted,
     wait_for_reuse_delay,
 )
-from tests.support.event_loop import wait_until
+from tests.support.event_loop import runs_in_loop, wait_until
 from tests.support.fake_services import FakeBackend, FakeServer, ScriptedReply
 from tests.support.gateway_harness import GatewayHarness, running_gateway
 
--- a/tests/network/backends/test_backend_replies.py
+++ b/tests/network/backends/test_backend_replies.py
@@ -12,11 +12,10 @@
     VALUE_REPLY,
     RecordedAttempt,
     open_pool,
-    runs_in_loop,
     scripted,
     wait_for_reuse_delay,
 )
-from tests.support.event_loop import wait_until
+from tests.support.event_loop import runs_in_loop, wait_until
 from tests.support.fake_services import FakeBackend, ScriptedReply
 
 VALUE_WITHOUT_METADATA = b"*3\r\n$5\r\nvalue\r\n"
--- a/tests/network/backends/test_idle_loss.py
+++ b/tests/network/backends/test_idle_loss.py
@@ -7,7 +7,8 @@
 
 from gateway.network.backends.idle_loss import IdleLossEstimator
 from gateway.policy.events import Outcome
-from tests.support.backend_harness import VALUE_REPLY, RecordedAttempt, open_pool, runs_in_loop
+from tests.support.backend_harness import VALUE_REPLY, RecordedAttempt, open_pool
+from tests.support.event_loop import runs_in_loop
 from tests.support.fake_services import FakeBackend, ScriptedReply
 
 
--- a/tests/network/test_dispatcher_endings.py
+++ b/tests/network/test_dispatcher_endings.py
@@ -48,7 +48,7 @@
     async def scenario() -> None:
         answered = asyncio.Event()
 
-        async def answer_late(_words: list[bytes]) -> ScriptedReply:
+        async def answer_late(_call: list[bytes]) -> ScriptedReply:
             await answered.wait()
             return b"ok 1\r\n"
 
@@ -248,7 +248,7 @@
 
     A timer or a response brings the first attempt or a hedged request, a failed attempt the next one.
     """
-    monkeypatch.setattr("gateway.network.counter.connection.SILENCE_TIMEOUT_MS", math.inf)
+    monkeypatch.setattr("gateway.network.counter.connection.INACTIVITY_TIMEOUT_MS", math.inf)
 
     async def scenario() -> None:
         crossing = Crossing(trigger, count)
--- a/tests/support/backend_harness.py
+++ b/tests/support/backend_harness.py
@@ -3,8 +3,7 @@
 from __future__ import annotations
 
 import asyncio
-import functools
-from collections.abc import AsyncIterator, Awaitable, Callable
+from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
 from typing import Any
 
@@ -12,8 +11,8 @@
 from gateway.network.backends.pool import REUSE_DELAY_MS, BackendPool
 from gateway.network.timers import TimerQueue, now_ms
 from gateway.policy.events import EndpointState, Outcome
-from tests.support.event_loop import run_in_loop, wait_until
-from tests.support.fake_services import FakeBackend, FakeServer, ScriptedReply
+from tests.support.event_loop import wait_until
+from tests.support.fake_services import FakeBackend, FakeServer, ScriptedReply, always
 from tests.support.request_commands import request_command
 from tests.support.resp_peer import encode_command
 
@@ -86,20 +85,6 @@
         return outcome
 
 
-def runs_in_loop(test: Callable[..., Awaitable[None]]) -> Callable[..., None]:
-    """Run an asynchronous test in an event loop of its own, within a time limit."""
-
-    @functools.wraps(test)
-    def run(*args: Any, **kwargs: Any) -> None:
-        run_in_loop(lambda: test(*args, **kwargs))
-
-    return run
-
-
 def scripted(reply: ScriptedReply) -> FakeBackend:
-    """Return a backend that gives each request this reply: None stays silent, b"" hangs up."""
-
-    async def script(_command: list[bytes]) -> ScriptedReply:
-        return reply
-
-    return FakeBackend(script)
+    """Return a backend that sends the same reply to every request."""
+    return FakeBackend(always(reply))
--- a/tests/support/event_loop.py
+++ b/tests/support/event_loop.py
@@ -3,12 +3,20 @@
 from __future__ import annotations
 
 import asyncio
+import functools
 from collections.abc import Awaitable, Callable
+from typing import ParamSpec
 
 import uvloop
 
+P = ParamSpec("P")
+
+POLL_INTERVAL_S = 0.002
+
 
 def run_in_loop(scenario: Callable[[], Awaitable[None]], seconds: float = 20) -> None:
+    """Run a scenario in an event loop of its own, for at most `seconds`."""
+
     async def limited() -> None:
         async with asyncio.timeout(seconds):
             await scenario()
@@ -16,7 +24,17 @@
     uvloop.run(limited())
 
 
+def runs_in_loop(test: Callable[P, Awaitable[None]]) -> Callable[P, None]:
+    """Run an asynchronous test in an event loop of its own, within the time limit of `run_in_loop`."""
+
+    @functools.wraps(test)
+    def run(*args: P.args, **kwargs: P.kwargs) -> None:
+        run_in_loop(lambda: test(*args, **kwargs))
+
+    return run
+
+
 async def wait_until(condition: Callable[[], object]) -> None:
-    """Wait for what other tasks bring about; the test's time limit ends a vain wait."""
+    """Wait for what other tasks bring about, until the test's time limit."""
     while not condition():
-        await asyncio.sleep(0.002)
+        await asyncio.sleep(POLL_INTERVAL_S)
--- a/tests/support/fake_services.py
+++ b/tests/support/fake_services.py
@@ -24,7 +24,7 @@
 
     @property
     def address(self) -> Address:
-        """Where it listens, once it has started."""
+        """The address at which it listens, once it has started."""
         return Address(LOCAL, self.port)
 
     async def start(self) -> None:
@@ -61,13 +61,25 @@
 
 
 ScriptedReply = bytes | None
-"""What a scripted server sends: None stays silent, b"" hangs up."""
+"""What a scripted server sends: None sends nothing, b"" closes the connection."""
+
+Script = Callable[[list[bytes]], Awaitable[ScriptedReply]]
+"""Returns the reply to a command or call, given its fields."""
+
+
+def always(reply: ScriptedReply) -> Script:
+    """Return a script with the same reply to everything."""
+
+    async def script(_fields: list[bytes]) -> ScriptedReply:
+        return reply
+
+    return script
 
 
 class FakeBackend(FakeServer):
-    """A fake backend: replies to each command as `script` says, by default with a value."""
+    """Replies to each command as `script` says, by default with a value."""
 
-    def __init__(self, script: Callable[[list[bytes]], Awaitable[ScriptedReply]] | None = None) -> None:
+    def __init__(self, script: Script | None = None) -> None:
         super().__init__()
         self.script = script or self.serve
         self.received: list[list[bytes]] = []
@@ -92,25 +104,26 @@
 
 
 class FakeCounter(FakeServer):
-    """Keeps numbers by name; `script` may answer a call otherwise (None: not at all, b"" hangs up)."""
+    """Keeps totals by name and responds with them, unless `script` returns another response."""
 
-    def __init__(self, script: Callable[[list[bytes]], Awaitable[ScriptedReply]] | None = None) -> None:
+    def __init__(self, script: Script | None = None) -> None:
         super().__init__()
         self.script = script
         self.totals: dict[bytes, float] = {}
         self.received: list[list[bytes]] = []
+        """The fields of the calls received, in order: command, name, amount and time to live."""
 
     async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while line := await reader.readline():
             assert line.endswith(b"\r\n")
-            words = line.split()
-            assert words[0] == b"tally"
-            assert len(words) == 4
-            self.received.append(words)
-            self.totals[words[1]] = self.totals.get(words[1], 0.0) + float(words[2])
-            reply: ScriptedReply = b"ok %.3f\r\n" % self.totals[words[1]]
+            fields = line.split()
+            command, name, amount, _ttl_ms = fields
+            assert command == b"tally"
+            self.received.append(fields)
+            self.totals[name] = self.totals.get(name, 0.0) + float(amount)
+            reply: ScriptedReply = b"ok %.3f\r\n" % self.totals[name]
             if self.script is not None:
-                reply = await self.script(words)
+                reply = await self.script(fields)
             if reply == b"":
                 return
             if reply:
@@ -118,7 +131,7 @@
 
 
 class FakeDiscovery(FakeServer):
-    """Answers calls for the endpoint list with `snapshot`, and keeps watches open for what a test sends."""
+    """Serves `snapshot` to calls without a version, and keeps watches open for what a test sends."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -141,11 +154,11 @@
         await reader.read()
 
     def send_line(self, line: bytes, watch: int = -1) -> None:
-        """Send a line on one of the watches, the newest unless told otherwise."""
+        """Send a line on one of the watches, by default the newest."""
         self.watches[watch].write(b"%x\r\n%b\n\r\n" % (len(line) + 1, line))
 
     def send_update(self, seq: int, *hosts: dict[str, Any], is_snapshot: bool = False) -> None:
-        """Send a delta, or a snapshot if `is_snapshot`, on the newest watch."""
+        """Send a delta, or with `is_snapshot` a snapshot, on the newest watch."""
         self.send_line(json.dumps({"seq": seq, "whole": is_snapshot, "hosts": hosts}).encode())
 
 
