--- a/tests/support/fake_services.py
+++ b/tests/support/fake_services.py
@@ -24,7 +24,7 @@
 
     @property
     def address(self) -> Address:
-        """Where it listens, once it has started."""
+        """The address at which it listens, once it has started."""
         return Address(LOCAL, self.port)
 
     async def start(self) -> None:
@@ -61,13 +61,25 @@
 
 
 ScriptedReply = bytes | None
-"""What a scripted server sends: None stays silent, b"" hangs up."""
+"""What a scripted server sends: None sends nothing, b"" closes the connection."""
+
+Script = Callable[[list[bytes]], Awaitable[ScriptedReply]]
+"""Returns the reply to a command or call, given its fields."""
+
+
+def always(reply: ScriptedReply) -> Script:
+    """Return a script with the same reply to everything."""
+
+    async def script(_fields: list[bytes]) -> ScriptedReply:
+        return reply
+
+    return script
 
 
 class FakeBackend(FakeServer):
-    """A fake backend: replies to each command as `script` says, by default with a value."""
+    """Replies to each command as `script` says, by default with a value."""
 
-    def __init__(self, script: Callable[[list[bytes]], Awaitable[ScriptedReply]] | None = None) -> None:
+    def __init__(self, script: Script | None = None) -> None:
         super().__init__()
         self.script = script or self.serve
         self.received: list[list[bytes]] = []
@@ -92,25 +104,26 @@
 
 
 class FakeCounter(FakeServer):
-    """Keeps numbers by name; `script` may answer a call otherwise (None: not at all, b"" hangs up)."""
+    """Keeps totals by name and responds with them, unless `script` returns another response."""
 
-    def __init__(self, script: Callable[[list[bytes]], Awaitable[ScriptedReply]] | None = None) -> None:
+    def __init__(self, script: Script | None = None) -> None:
         super().__init__()
         self.script = script
         self.totals: dict[bytes, float] = {}
         self.received: list[list[bytes]] = []
+        """The fields of the calls received, in order: command, name, amount and time to live."""
 
     async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while line := await reader.readline():
             assert line.endswith(b"\r\n")
-            words = line.split()
-            assert words[0] == b"tally"
-            assert len(words) == 4
-            self.received.append(words)
-            self.totals[words[1]] = self.totals.get(words[1], 0.0) + float(words[2])
-            reply: ScriptedReply = b"ok %.3f\r\n" % self.totals[words[1]]
+            fields = line.split()
+            command, name, amount, _ttl_ms = fields
+            assert command == b"tally"
+            self.received.append(fields)
+            self.totals[name] = self.totals.get(name, 0.0) + float(amount)
+            reply: ScriptedReply = b"ok %.3f\r\n" % self.totals[name]
             if self.script is not None:
-                reply = await self.script(words)
+                reply = await self.script(fields)
             if reply == b"":
                 return
             if reply:
@@ -118,13 +131,13 @@
 
 
 class FakeDiscovery(FakeServer):
-    """Answers calls for the endpoint list with `snapshot`, and keeps watches open for what a test sends."""
+    """Serves `snapshot` to calls without a version, and keeps watches open for what a test sends."""
 
     def __init__(self) -> None:
         super().__init__()
         self.requests: list[str] = []
         self.watches: list[asyncio.StreamWriter] = []
-        self.snapshot: dict[str, Any] = {"seq": 1, "whole": True, "hosts": []}
+        self.snapshot = list_message(1)
         self.indent: int | None = None
 
     async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -141,12 +154,32 @@
         await reader.read()
 
     def send_line(self, line: bytes, watch: int = -1) -> None:
-        """Send a line on one of the watches, the newest unless told otherwise."""
+        """Send a line on one of the watches, by default the newest."""
         self.watches[watch].write(b"%x\r\n%b\n\r\n" % (len(line) + 1, line))
 
-    def send_update(self, seq: int, *hosts: dict[str, Any], is_snapshot: bool = False) -> None:
-        """Send a delta, or a snapshot if `is_snapshot`, on the newest watch."""
-        self.send_line(json.dumps({"seq": seq, "whole": is_snapshot, "hosts": hosts}).encode())
+    def send_update(self, version: int, *entries: dict[str, Any], is_snapshot: bool = False) -> None:
+        """Send a delta, or with `is_snapshot` a snapshot, on the newest watch."""
+        message = list_message(version, *entries, is_snapshot=is_snapshot)
+        self.send_line(json.dumps(message).encode())
+
+
+class PausedDiscovery(FakeDiscovery):
+    """Accepts calls, and sends nothing until it is resumed."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.resumed = asyncio.Event()
+        self.calls = 0
+
+    async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        self.calls += 1
+        await self.resumed.wait()
+        await super().handle_connection(reader, writer)
+
+
+def list_message(version: int, *entries: dict[str, Any], is_snapshot: bool = True) -> dict[str, Any]:
+    """Return a snapshot or a delta of the endpoint list as discovery sends it."""
+    return {"seq": version, "whole": is_snapshot, "hosts": list(entries)}
 
 
 def endpoint_entry(name: str, port: int, health: str = "up", born_ms: float = 0) -> dict[str, Any]:
