--- a/gateway/network/clients/request_parser.py
+++ b/gateway/network/clients/request_parser.py
@@ -1,7 +1,8 @@
 """Validation of the request commands that clients send, `API.READ` and `API.WRITE`.
 
 The arguments of both are customer, request id, a list of `name=value` attributes and an optional body. They
-come from clients, who are not trusted: each is checked here before the policy sees any of them.
+come from clients, who are not trusted: each is checked here before the policy sees any of them. The names of
+the attributes are in `request_attributes`.
 """
 
 from __future__ import annotations
@@ -13,20 +14,34 @@
 from gateway.network.codecs.resp import encode_bulk_string
 from gateway.policy.settings import Idempotency, RequestClass, Settings
 
+from .request_attributes import (
+    ASSIGNMENT,
+    COST,
+    GATEWAY_SET_SIZE,
+    GATEWAY_SET_START,
+    IDEMPOTENCY_KEY,
+    IS_RETRY,
+    IS_RETRY_VALUE,
+    PLAN,
+    REMAINING_MS,
+    REQUEST_CLASS,
+    SEPARATOR,
+)
+
 REQUEST_COMMANDS = {b"API.READ": True, b"API.WRITE": False}
 """The commands that are requests, and whether each serves idempotent request classes or the others."""
 
 MIN_ARGUMENTS = 4
-"""Command, customer, request id and attributes."""
+"""Fewest arguments of a request command: its name, customer, request id and attributes."""
 
 MAX_ARGUMENTS = 5
-"""The same and a body."""
+"""Most arguments of a request command: the same and a body."""
 
 MAX_DEADLINE_MULTIPLE = 2.0
-"""The longest remaining time of a request, in deadlines of its class: no client waits longer."""
+"""Longest remaining time that a request may state, as a multiple of the deadline of its class."""
 
 CUSTOMER_COUNT = 2**33
-"""Customers are numbered from 0 up to this, in 16 hexadecimal digits."""
+"""Number of possible customers; a customer is its number in 16 hexadecimal digits, counted from 0."""
 
 # Strict forms: `float` and `int` also accept nan, 1_0, +1 and spaces.
 DECIMAL_FORM = re.compile(rb"\d{1,12}(?:\.\d{1,12})?")
@@ -34,9 +49,12 @@
 CUSTOMER_FORM = re.compile(rb"[0-9a-fA-F]{16}")
 IDENTIFIER_FORM = re.compile(rb"[!-~]{1,64}")
 
+REMAINING_MS_AT_START = REMAINING_MS + ASSIGNMENT
+REMAINING_MS_AFTER_ANOTHER = SEPARATOR + REMAINING_MS + ASSIGNMENT
+
 
 class InvalidRequestError(GatewayError, ValueError):
-    """A command is no request that the settings allow; its text is the reason that the client is sent."""
+    """A command is not a request that the settings allow; its text is sent to the client as the reason."""
 
 
 @dataclass(slots=True)
@@ -65,7 +83,7 @@
     is_retry: bool
 
     def encode(self, remaining_ms: int) -> bytes:
-        """Encode the command for a backend that is left `remaining_ms` milliseconds."""
+        """Encode the command for a backend that has `remaining_ms` milliseconds left to respond."""
         attributes = b"%b%d%b" % (
             self.attributes_before_remaining_time,
             remaining_ms,
@@ -80,7 +98,7 @@
 
 
 class _ClassRules:
-    """What a request of one class has to keep to, computed once."""
+    """The checks of the requests of one class, prepared once rather than at each request."""
 
     __slots__ = ("is_idempotent", "max_remaining_ms", "name", "needs_key")
 
@@ -103,8 +121,9 @@
     def parse(self, arguments: list[bytes]) -> ClientRequest:
         """Check the arguments of one of `REQUEST_COMMANDS`, its name included.
 
-        Danger: this is the only check. Unknown plans have no quota, a negative cost fills a bucket and takes
-        from the counter's total for all gateways, and a customer is stored with the first plan it came with.
+        No later stage checks them again. An unknown plan would have no quota, a negative cost would add to
+        the customer's bucket and lower the counter's total for all gateways, and a customer is stored with
+        the plan of its first request.
 
         Raises:
             InvalidRequestError: the arguments are no request of a known class, plan and size.
@@ -116,14 +135,17 @@
         rules, plan = self._resolve_class_and_plan(command, attributes)
         customer_number = _parse_customer(customer)
         _check_identifiers(request_id, attributes, rules)
-        remaining_ms = _parse_decimal(attributes, b"d")
-        cost = _parse_decimal(attributes, b"units")
-        gateway_set_size = _parse_integer(attributes, b"spread")
-        gateway_set_start = _parse_integer(attributes, b"first")
-        self._check_ranges(rules, remaining_ms, cost, gateway_set_size, gateway_set_start)
+        remaining_ms = _parse_decimal(attributes, REMAINING_MS)
+        cost = _parse_decimal(attributes, COST)
+        gateway_set_size = _parse_integer(attributes, GATEWAY_SET_SIZE)
+        gateway_set_start = _parse_integer(attributes, GATEWAY_SET_START)
+        if not 0 < remaining_ms <= rules.max_remaining_ms:
+            raise InvalidRequestError("time left out of range")
+        self._check_cost(cost)
+        self._check_gateway_set(gateway_set_size, gateway_set_start)
         remaining_start = _find_remaining_time(attribute_list)
-        remaining_end = remaining_start + len(attributes[b"d"])
-        return ClientRequest(  # by position: keywords made the whole of `parse` a tenth slower
+        remaining_end = remaining_start + len(attributes[REMAINING_MS])
+        return ClientRequest(  # by position: with keywords, `parse` as a whole took a tenth longer
             encode_bulk_string(command) + encode_bulk_string(customer) + encode_bulk_string(request_id),
             attribute_list[:remaining_start],
             attribute_list[remaining_end:],
@@ -137,42 +159,35 @@
             cost,
             gateway_set_size,
             gateway_set_start,
-            attributes.get(b"r") == b"1",
+            attributes.get(IS_RETRY) == IS_RETRY_VALUE,
         )
 
     def _resolve_class_and_plan(
         self, command: bytes, attributes: dict[bytes, bytes]
     ) -> tuple[_ClassRules, str]:
-        rules = self._class_rules.get(attributes.get(b"c", b""))
+        rules = self._class_rules.get(attributes.get(REQUEST_CLASS, b""))
         if rules is None:
             raise InvalidRequestError("unknown class")
-        plan = self._plans.get(attributes.get(b"t", b""))
+        plan = self._plans.get(attributes.get(PLAN, b""))
         if plan is None:
             raise InvalidRequestError("unknown plan")
         if REQUEST_COMMANDS[command.upper()] is not rules.is_idempotent:
             raise InvalidRequestError("class of another command")
         return rules, plan
 
-    def _check_ranges(
-        self,
-        rules: _ClassRules,
-        remaining_ms: float,
-        cost: float,
-        gateway_set_size: int,
-        gateway_set_start: int,
-    ) -> None:
-        if not 0 < remaining_ms <= rules.max_remaining_ms:
-            raise InvalidRequestError("time left out of range")
+    def _check_cost(self, cost: float) -> None:
         if not 0 < cost <= self._max_request_cost:
             raise InvalidRequestError("units out of range")
-        if not (1 <= gateway_set_size <= self._gateway_count and gateway_set_start < self._gateway_count):
+
+    def _check_gateway_set(self, size: int, start: int) -> None:
+        if not (1 <= size <= self._gateway_count and start < self._gateway_count):
             raise InvalidRequestError("set out of range")
 
 
 def _split_attributes(attribute_list: bytes) -> dict[bytes, bytes]:
     attributes: dict[bytes, bytes] = {}
-    for attribute in attribute_list.split(b","):
-        name, equals, value = attribute.partition(b"=")
+    for attribute in attribute_list.split(SEPARATOR):
+        name, equals, value = attribute.partition(ASSIGNMENT)
         if not equals or name in attributes:
             raise InvalidRequestError("malformed attributes")
         attributes[name] = value
@@ -191,7 +206,7 @@
 def _check_identifiers(request_id: bytes, attributes: dict[bytes, bytes], rules: _ClassRules) -> None:
     if not IDENTIFIER_FORM.fullmatch(request_id):
         raise InvalidRequestError("malformed id")
-    if rules.needs_key and not IDENTIFIER_FORM.fullmatch(attributes.get(b"k", b"")):
+    if rules.needs_key and not IDENTIFIER_FORM.fullmatch(attributes.get(IDEMPOTENCY_KEY, b"")):
         raise InvalidRequestError("key missing")
 
 
@@ -210,7 +225,7 @@
 
 
 def _find_remaining_time(attribute_list: bytes) -> int:
-    """Where the value of the attribute `d`, which has to be there, begins."""
-    if attribute_list.startswith(b"d="):
-        return len(b"d=")
-    return attribute_list.index(b",d=") + len(b",d=")
+    """Return where the value of the remaining time begins, in a list that has this attribute."""
+    if attribute_list.startswith(REMAINING_MS_AT_START):
+        return len(REMAINING_MS_AT_START)
+    return attribute_list.index(REMAINING_MS_AFTER_ANOTHER) + len(REMAINING_MS_AFTER_ANOTHER)
