--- a/gateway/network/clients/pending_reply.py
+++ b/gateway/network/clients/pending_reply.py
@@ -1,4 +1,4 @@
-"""The replies that a client's connection still owes, as those see them who complete them."""
+"""The reply to one command of a client, from the arrival of the command until it is sent."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
         """Send the replies that are complete, and go on with the next commands."""
 
     def detect_disconnect(self) -> None:
-        """Read all that has come, and close if the client has disconnected."""
+        """Read all input that has come, and close if the client has disconnected."""
 
 
 class PendingReply:
@@ -26,9 +26,22 @@
         self.connection = connection
         self.command_bytes = command_bytes
         self.reply: bytes | None = None
-        self.open_request_id: str | None = None  # of a request that has no reply yet
+        self.open_request_id: str | None = None
+        """The request whose reply this is, until it is complete; None for any other command."""
         self.is_completed = False
 
+    @classmethod
+    def completed(cls, connection: ReplyConnection, reply: bytes) -> PendingReply:
+        """Create a reply that is complete from the start; the connection is not called to send it."""
+        pending_reply = cls(connection)
+        pending_reply.is_completed = True
+        pending_reply.reply = reply
+        return pending_reply
+
+    def open_request(self, request_id: str) -> None:
+        """Make this the reply of a request that is about to be handed to the handler."""
+        self.open_request_id = request_id
+
     def complete(self, reply: bytes) -> None:
         """Give the encoded reply; only the first one counts, and none once the client has disconnected."""
         if self.is_completed:
@@ -38,6 +51,15 @@
         self.open_request_id = None
         self.connection.process_input()
 
+    def abandon(self) -> str | None:
+        """Accept no reply any more, as the client has disconnected.
+
+        Returns:
+            The request that is still open, if there is one; its handler has to be notified.
+        """
+        self.is_completed = True
+        return self.open_request_id
+
     def detect_disconnect(self) -> None:
         """See `ReplyConnection.detect_disconnect`."""
         self.connection.detect_disconnect()
@@ -50,4 +72,4 @@
         """Take a valid request, and complete its reply now or later."""
 
     def on_client_disconnected(self, request_id: str, /) -> None:
-        """Nobody waits for the reply of this request any more."""
+        """Cancel a request, as its client has disconnected and takes no reply any more."""
--- a/gateway/network/process/server.py
+++ b/gateway/network/process/server.py
@@ -238,9 +238,11 @@
         return ClientListener(
             self._loop,
             self._timers,
-            self._dispatcher,
-            RequestParser(self._config.settings),
-            ClientLimits(max_connections=self._budget.client_connections, memory_bytes=self._buffer_bytes),
+            handler=self._dispatcher,
+            parser=RequestParser(self._config.settings),
+            limits=ClientLimits(
+                max_connections=self._budget.client_connections, memory_bytes=self._buffer_bytes
+            ),
         )
 
 
--- a/tests/network/clients/test_client_connection.py
+++ b/tests/network/clients/test_client_connection.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from gateway.network.clients import connection as client_connection
+from gateway.network.clients import command_reader, reply_queue
 from gateway.network.clients import listener as client_listener
 from gateway.network.clients.listener import ClientListener
 from tests.support.event_loop import run_in_loop, wait_until
@@ -107,10 +107,10 @@
 
             peer.writer.write(encode_command(*request_command(b"early")) + b"?what\r\n" + b"x" * 10_000_000)
             await wait_until(lambda: backend.received)
-            assert connection.is_finishing
+            assert connection.reader.is_discarding
             await peer.writer.drain()  # read to its end, which alone would show that the client has left
 
-            assert connection.command_parser.buffered_bytes <= client_listener.RECEIVE_BUFFER_BYTES
+            assert connection.reader.buffered_bytes <= command_reader.RECEIVE_BUFFER_BYTES
             backend.gate.set()
             assert await peer.receive() == b"early"
             assert is_error(await peer.receive())
@@ -159,7 +159,7 @@
         backend = GatedBackend()
         async with running_gateway(GatewayHarness(backend)) as harness:
             peer = await harness.client()
-            ids = [b"%04d" % number for number in range(client_connection.MAX_PENDING_REPLIES * 2)]
+            ids = [b"%04d" % number for number in range(reply_queue.MAX_PENDING_REPLIES * 2)]
 
             peer.writer.write(b"".join(encode_command(*request_command(id)) for id in ids))
             await wait_until(lambda: backend.received)
@@ -192,9 +192,9 @@
                 written += 1
                 await asyncio.sleep(0)
 
-            pending_bytes = sum(len(pending.reply or b"") for pending in connection.pending_replies)
-            held_bytes = len(connection.send_buffer) + pending_bytes
-            assert held_bytes <= client_connection.MAX_UNSENT_BYTES + 2 * 66_000
+            pending_bytes = sum(len(pending.reply or b"") for pending in connection.replies.pending)
+            held_bytes = len(connection.replies.unsent) + pending_bytes
+            assert held_bytes <= reply_queue.MAX_UNSENT_BYTES + 2 * 66_000
             for _ in range(written):  # once it reads, it gets all of them
                 assert await peer.receive() == b"x" * 65536
 
@@ -204,7 +204,7 @@
 def test_a_client_that_never_reads_is_closed(
     client_listeners: list[ClientListener], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(client_connection, "SLOW_READER_TIMEOUT_MS", 50.0)
+    monkeypatch.setattr(reply_queue, "SLOW_READER_TIMEOUT_MS", 50.0)
     monkeypatch.setattr(client_listener, "SWEEP_INTERVAL_MS", 10.0)
 
     async def scenario() -> None:
@@ -235,7 +235,7 @@
     monkeypatch: pytest.MonkeyPatch, sent: bytes
 ) -> None:
     """Half a command, or nothing at all, would hold a descriptor for ever."""
-    monkeypatch.setattr(client_connection, "COMMAND_TIMEOUT_MS", 500.0)
+    monkeypatch.setattr(command_reader, "COMMAND_TIMEOUT_MS", 500.0)
     monkeypatch.setattr(client_listener, "SWEEP_INTERVAL_MS", 10.0)
 
     async def scenario() -> None:
--- a/tests/network/clients/test_client_endings.py
+++ b/tests/network/clients/test_client_endings.py
@@ -9,8 +9,9 @@
 
 import pytest
 
-from gateway.network.clients import connection as client_connection
 from gateway.network.clients import listener as client_listener
+from gateway.network.clients.command_reader import MAX_READ_AHEAD_BYTES, RECEIVE_BUFFER_BYTES
+from gateway.network.clients.reply_queue import MAX_PENDING_REPLIES
 from gateway.network.codecs.resp_commands import COMPACTION_THRESHOLD_BYTES
 from tests.support.clients import as_peer, connect, connect_at_once, running_listener
 from tests.support.event_loop import run_in_loop, wait_until
@@ -26,10 +27,10 @@
     async def scenario() -> None:
         async with running_listener() as (listener, handler, port):
             peer = await connect(port)
-            count = client_connection.MAX_PENDING_REPLIES * (1 if behind else 3)
+            count = MAX_PENDING_REPLIES * (1 if behind else 3)
             ids = [b"%04d" % number for number in range(count)]
             peer.writer.write(b"".join(encode_command(*request_command(id)) for id in ids) + behind)
-            await wait_until(lambda: len(handler.pending) == client_connection.MAX_PENDING_REPLIES)
+            await wait_until(lambda: len(handler.pending) == MAX_PENDING_REPLIES)
 
             peer.close()
             await wait_until(lambda: not listener.connections)
@@ -37,7 +38,7 @@
             assert sorted(handler.disconnected) == sorted(handler.pending)
             for reply in list(handler.pending.values()):  # what was read ahead is not processed any more
                 reply.complete(b"+late\r\n")
-            assert len(handler.pending) == client_connection.MAX_PENDING_REPLIES
+            assert len(handler.pending) == MAX_PENDING_REPLIES
 
     run_in_loop(scenario)
 
@@ -61,13 +62,13 @@
 
     async def scenario() -> None:
         async with running_listener(memory=16 * 2**20) as (listener, handler, port):
-            send_backlog_and_close(port, 4 * client_connection.MAX_READ_AHEAD_BYTES)
+            send_backlog_and_close(port, 4 * MAX_READ_AHEAD_BYTES)
             async with asyncio.timeout(5):
                 await wait_until(lambda: handler.pending and not listener.connections)
 
             assert sorted(handler.disconnected) == sorted(handler.pending)
-            assert len(handler.pending) == client_connection.MAX_PENDING_REPLIES
-            assert listener.read_ahead_bytes == 0
+            assert len(handler.pending) == MAX_PENDING_REPLIES
+            assert listener.memory.read_ahead_bytes == 0
 
     run_in_loop(scenario)
 
@@ -85,14 +86,14 @@
             await wait_until(lambda: handler.pending and not next(iter(listener.connections)).is_reading)
 
             (connection,) = listener.connections
-            limit = max(client_connection.MAX_READ_AHEAD_BYTES, listener.max_read_ahead_bytes)
-            assert connection.command_parser.buffered_bytes == listener.read_ahead_bytes
-            assert limit < listener.read_ahead_bytes <= limit + client_listener.RECEIVE_BUFFER_BYTES
+            limit = max(MAX_READ_AHEAD_BYTES, listener.memory.max_read_ahead_bytes)
+            assert connection.reader.buffered_bytes == listener.memory.read_ahead_bytes
+            assert limit < listener.memory.read_ahead_bytes <= limit + RECEIVE_BUFFER_BYTES
             for id in ids:  # and all of it is answered once there is capacity
                 await wait_until(lambda id=id: id.decode() in handler.pending)  # type: ignore[misc]
                 handler.pending[id.decode()].complete(encode_command(id))
             assert [await peer.receive() for _ in ids] == [[id] for id in ids]
-            assert listener.read_ahead_bytes == 0
+            assert listener.memory.read_ahead_bytes == 0
 
     run_in_loop(scenario)
 
@@ -109,8 +110,8 @@
             leaving = await connect(port)
             staying = await connect(port)
             flood = b"".join(encode_command(*request_command(b"g%04d" % number)) for number in range(1_700))
-            readable = client_connection.MAX_READ_AHEAD_BYTES + client_listener.RECEIVE_BUFFER_BYTES
-            assert len(flood) > readable + client_connection.MAX_PENDING_REPLIES * 110
+            readable = MAX_READ_AHEAD_BYTES + RECEIVE_BUFFER_BYTES
+            assert len(flood) > readable + MAX_PENDING_REPLIES * 110
             leaving.writer.write(flood)
             staying.writer.write(flood.replace(b"g0", b"s0").replace(b"g1", b"s1"))
             await wait_until(lambda: len(listener.connections) == 2)
@@ -127,7 +128,7 @@
 
             async with asyncio.timeout(5):
                 await wait_until(is_detected)
-            expected = [f"g{number:04}" for number in range(client_connection.MAX_PENDING_REPLIES)]
+            expected = [f"g{number:04}" for number in range(MAX_PENDING_REPLIES)]
             assert sorted(handler.disconnected) == expected
             for _ in range(20):
                 assert is_detected()  # the other one stays, whose requests lie as deep
@@ -146,16 +147,16 @@
             peer.writer.write(
                 b"".join(encode_command(*request_command(b"%05d" % number)) for number in range(count))
             )
-            await wait_until(lambda: listener.read_ahead_bytes > 7 * client_connection.MAX_READ_AHEAD_BYTES)
+            await wait_until(lambda: listener.memory.read_ahead_bytes > 7 * MAX_READ_AHEAD_BYTES)
 
             handler.immediate_reply = b"-BUSY\r\n"
             (connection,) = listener.connections
             for reply in list(handler.pending.values()):
                 reply.complete(b"-BUSY\r\n")
-            await wait_until(lambda: len(handler.pending) == count and listener.read_ahead_bytes == 0)
+            await wait_until(lambda: len(handler.pending) == count and listener.memory.read_ahead_bytes == 0)
 
-            kept = sys.getsizeof(connection.command_parser._buffer)
-            assert kept < 2 * (COMPACTION_THRESHOLD_BYTES + client_listener.RECEIVE_BUFFER_BYTES)
+            kept = sys.getsizeof(connection.reader._parser._buffer)
+            assert kept < 2 * (COMPACTION_THRESHOLD_BYTES + RECEIVE_BUFFER_BYTES)
 
     run_in_loop(scenario)
 
@@ -164,7 +165,7 @@
     """Each may go on with its own part; one that has more goes on once others have left capacity."""
 
     async def scenario() -> None:
-        limit = client_connection.MAX_READ_AHEAD_BYTES
+        limit = MAX_READ_AHEAD_BYTES
         async with running_listener(memory=8 * limit) as (listener, _handler, port):
             flood = b"".join(encode_command(*request_command(b"%05d" % number)) for number in range(10_000))
             first = await connect(port)
@@ -177,20 +178,17 @@
             one, other = listener.connections
             await wait_until(lambda: not one.is_reading and not other.is_reading)
 
+            assert one.reader.buffered_bytes + other.reader.buffered_bytes == listener.memory.read_ahead_bytes
             assert (
-                one.command_parser.buffered_bytes + other.command_parser.buffered_bytes
-                == listener.read_ahead_bytes
+                listener.memory.max_read_ahead_bytes
+                < listener.memory.read_ahead_bytes
+                <= listener.memory.max_read_ahead_bytes + limit + 65536
             )
-            assert (
-                listener.max_read_ahead_bytes
-                < listener.read_ahead_bytes
-                <= listener.max_read_ahead_bytes + limit + 65536
-            )
-            assert limit < other.command_parser.buffered_bytes <= limit + client_listener.RECEIVE_BUFFER_BYTES
+            assert limit < other.reader.buffered_bytes <= limit + RECEIVE_BUFFER_BYTES
             one.close()
-            await wait_until(lambda: other.command_parser.buffered_bytes > listener.max_read_ahead_bytes)
+            await wait_until(lambda: other.reader.buffered_bytes > listener.memory.max_read_ahead_bytes)
             other.close()
-            assert listener.read_ahead_bytes == 0
+            assert listener.memory.read_ahead_bytes == 0
 
     run_in_loop(scenario)
 
--- a/tests/network/clients/test_client_listener.py
+++ b/tests/network/clients/test_client_listener.py
@@ -32,14 +32,14 @@
                 for peer in peers:
                     peer.send(b"PING", b"x" * 65536)
                 await asyncio.sleep(0)
-                assert listener.unsent_bytes <= listener.max_unsent_bytes + 70_000
+                assert listener.memory.unsent_bytes <= listener.memory.max_unsent_bytes + 70_000
 
             late = await harness.client()
             assert await harness.request(late) == b"value"
             for peer in peers:
                 peer.writer.transport.abort()
         await wait_until(lambda: not listener.connections)
-        assert listener.unsent_bytes == 0
+        assert listener.memory.unsent_bytes == 0
 
     run_in_loop(scenario)
 
@@ -126,7 +126,7 @@
             peer = await harness.client()
 
             await harness.request(peer, plan=b"unknown")
-            await wait_until(lambda: not listener.rejection_counts)
+            await wait_until(lambda: not listener.rejections.counts)
 
             expected = (
                 f"clients of 127.0.0.1:{harness.port} rejected, each with an error reply or its connection "
--- a/tests/network/process/test_process_endings.py
+++ b/tests/network/process/test_process_endings.py
@@ -65,7 +65,7 @@
             peer = await connect(port)
             peer.writer.write(ahead + command[:-20])
             await wait_until(
-                lambda: any(connection.command_parser.buffered_bytes for connection in listener.connections)
+                lambda: any(connection.reader.buffered_bytes for connection in listener.connections)
             )
 
             listener.begin_shutdown()
--- a/tests/network/test_dispatcher.py
+++ b/tests/network/test_dispatcher.py
@@ -62,15 +62,17 @@
         self.policy = StubPolicy()
         self.dispatcher.policy = self.policy  # type: ignore[assignment]
         self.parser = RequestParser(self.dispatcher.settings)
-        listener = ClientListener(loop, timers, self.dispatcher, self.parser, ClientLimits(10, 1_000_000))
+        listener = ClientListener(
+            loop, timers, handler=self.dispatcher, parser=self.parser, limits=ClientLimits(10, 1_000_000)
+        )
         accepted, self.client = socket.socketpair()
         accepted.setblocking(False)
         self.connection = ClientConnection(listener, accepted)
 
     def request(self, id: bytes = b"r1", remaining_ms: int = 3000) -> PendingReply:
         pending_reply = PendingReply(self.connection)
-        pending_reply.open_request_id = id.decode()
-        self.connection.pending_replies.append(pending_reply)
+        pending_reply.open_request(id.decode())
+        self.connection.replies.add(pending_reply)
         args = list(request_command(id, plan=BONUS.name.encode(), remaining_ms=remaining_ms))
         self.dispatcher.on_request(self.parser.parse(args), pending_reply)
         return pending_reply
--- a/tests/support/clients.py
+++ b/tests/support/clients.py
@@ -47,7 +47,9 @@
     """A client listener with a recording handler, and its port."""
     loop = asyncio.get_running_loop()
     handler = RecordingHandler()
-    listener = ClientListener(loop, TimerQueue(loop), handler, PARSER, ClientLimits(max_connections, memory))
+    listener = ClientListener(
+        loop, TimerQueue(loop), handler=handler, parser=PARSER, limits=ClientLimits(max_connections, memory)
+    )
     port = listener.listen(LOCAL, 0)
     yield listener, handler, port
     listener.begin_shutdown()
@@ -81,7 +83,9 @@
         max_open_requests=max_connections,
     )
     dispatcher.policy = policy  # type: ignore[assignment]
-    listener = ClientListener(loop, timers, dispatcher, PARSER, ClientLimits(max_connections, 1_000_000))
+    listener = ClientListener(
+        loop, timers, handler=dispatcher, parser=PARSER, limits=ClientLimits(max_connections, 1_000_000)
+    )
     yield dispatcher, policy, listener, listener.listen(LOCAL, 0)
     listener.begin_shutdown()
     listener.close()
