--- a/benchmarks/capacity_slopes/policy_internals.py
+++ b/benchmarks/capacity_slopes/policy_internals.py
@@ -34,7 +34,7 @@
 
 def pending_counter_calls(policy: GatewayPolicy) -> int:
     """Return under how many names calls to the counter are in flight."""
-    return len(policy.usage.calls)
+    return len(policy.counter.calls.by_name)
 
 
 def subset_size(policy: GatewayPolicy) -> int:
--- /dev/null
+++ b/gateway/policy/counter_throttle.py
@@ -0,0 +1,69 @@
+"""Client-side throttling of the calls to the counter service.
+
+Each gateway estimates the fraction of its calls that the counter can handle, from the outcomes of its own
+calls (adaptive throttling, after "Handling Overload" in Site Reliability Engineering), and leaves out the
+calls that gain least. Retrying against an overloaded counter would prolong the overload.
+"""
+
+import math
+import random
+from enum import Enum
+
+from .events import Outcome
+
+CAPACITY_INCREASE = 0.005
+"""Added to the capacity estimates by each call that succeeds."""
+
+CAPACITY_DECREASE_FACTOR = 0.9
+"""Multiplies the capacity estimates at each call that fails."""
+
+MIN_CAPACITY = 0.1
+"""Least capacity estimate: some calls are always made, or a recovery of the counter would go unnoticed."""
+
+
+class CallUrgency(float, Enum):
+    """Exponent applied to the estimated capacity; the larger, the sooner a call is left out."""
+
+    LIKELY_WITHIN_QUOTA = 0.2
+    """The request is likely to be admitted, and needs its tokens reserved."""
+    LIKELY_OVER_QUOTA = 4.0
+    """The request is likely to be rejected whatever the counter responds."""
+    OVER_QUOTA_IS_FREE = 6.0
+    """Serving the customer beyond the quota costs nothing."""
+
+
+class CounterThrottle:
+    """Estimates the counter's capacity, and decides which calls are made."""
+
+    def __init__(self, rng: random.Random) -> None:
+        self.rng = rng
+        self.capacity = 1.0
+        """Fraction of the calls that the counter handles, from 0 to 1."""
+        self.timely_capacity = 1.0
+        """Fraction of the calls that the counter handles before they time out, from 0 to 1."""
+
+    def record(self, outcome: Outcome) -> None:
+        """Update the estimates by the outcome of a call: additive increase, multiplicative decrease."""
+        if outcome is Outcome.OK:
+            self.capacity = min(1.0, self.capacity + CAPACITY_INCREASE)
+            self.timely_capacity = min(1.0, self.timely_capacity + CAPACITY_INCREASE)
+            return
+        self.capacity = max(MIN_CAPACITY, self.capacity * CAPACITY_DECREASE_FACTOR)
+        if outcome is Outcome.TIMED_OUT:
+            self.timely_capacity = max(MIN_CAPACITY, self.timely_capacity * CAPACITY_DECREASE_FACTOR)
+
+    def permits(self, urgency: CallUrgency) -> bool:
+        """Draw whether a call is made, by its urgency and both capacity estimates."""
+        return self.rng.random() <= math.pow(self.capacity, urgency) * self.timely_capacity
+
+    def permits_upkeep(self) -> bool:
+        """Draw whether a call is made that no request waits for; slow responses do no harm there."""
+        return self.rng.random() <= self.capacity
+
+    def sampling_probability(self, minimum: float) -> float:
+        """The probability with which a sampled report is sent; at least `minimum`."""
+        return max(self.capacity * self.timely_capacity, minimum)
+
+    def is_sampled(self, probability: float) -> bool:
+        """Draw whether a sampled report is sent."""
+        return self.rng.random() <= probability
--- a/gateway/policy/leases.py
+++ b/gateway/policy/leases.py
@@ -1,25 +1,47 @@
-"""Leases: what each customer may use at this gateway, in cost units; times are milliseconds."""
+"""Leases: what each customer may use at this gateway, in cost units; times are milliseconds.
+
+A customer's quota holds for all gateways together, but each gateway admits requests by itself. So it holds a
+lease for each customer: a share of the quota that it spends locally, from a token bucket of its own. The
+lease is resized as the demand moves between gateways; one that is not renewed in time reverts to the fair
+share, with which all gateways together cannot exceed the quota. Where the fair share of the burst is too
+small to be spent locally, the customer's gateways share one bucket on the counter service instead
+(`SharedTokenBucket`).
+"""
 
 import math
 
 from .events import RequestArrived
 from .settings import Plan, Settings
-from .shared_bucket import SharedTokenBucket, counter_key
+from .shared_bucket import MEMORY_MS, SharedTokenBucket, counter_key
 
-LEASE_MS = 15_000.0  # how long a lease lasts unless it is renewed; the design's figure
-REFRESH_INTERVAL_MS = 500.0  # least time between refreshes: shares follow a shift, calls stay under requests
-SPARSE_BURST = 1.5  # of the largest requests: a fair share of the burst under it is too thin to spend locally
-DEMAND_MEMORY_MS = 3_000.0  # memory of the demand at this gateway and at all of them
-TOTAL_TOLERANCE = 0.01  # units by which a counter's total may be off by rounding
-EMPTY_MEMORY_FILLS = 2.0  # times that an empty bucket takes to fill, for which it is likely to be short
-SURGE = 5.0  # a reading stands until so many times the quota's rate could have spent what it showed
+LEASE_MS = 15_000.0
+"""How long a lease lasts unless it is renewed."""
 
+REFRESH_INTERVAL_MS = 500.0
+"""Least time between two refreshes of a lease, so that there are fewer calls to the counter than requests."""
 
-class Lease:
-    """A customer's lease: this gateway's share of the quota, and its local token bucket.
+MIN_LOCAL_BURST = 1.5
+"""Fair share of the burst, in requests of the largest cost, under which the gateways share one bucket."""
+
+DEMAND_MEMORY_MS = 3_000.0
+"""Time constant with which the demand here and at all gateways decays."""
+
+TOTAL_TOLERANCE = 0.01
+"""Units by which a total of the counter may be off by rounding."""
+
+MIN_REPORT_UNITS = 0.01
+"""Least unreported usage for which a call is made; less than that is rounding."""
+
+LIKELY_EMPTY_FILL_TIMES = 2.0
+"""After a shared bucket was read as empty, further requests are likely over quota for so many fill times."""
 
-    `RetryController` counts `in_flight`; `UsageReporter` keeps `unreported_usage` and `has_report_timer`.
-    """
+MAX_SPEND_RATE_MULTIPLE = 5.0
+"""All gateways together are expected to spend at most this multiple of the quota's rate: a total that was
+read stays fresh for as long as they would need to spend what it left."""
+
+
+class Lease:
+    """A customer's lease: this gateway's share of the quota, and its local token bucket."""
 
     def __init__(
         self, event: RequestArrived, plan: Plan, largest_cost: float, age_ms: float, now: float
@@ -31,19 +53,20 @@
         self.fair_share = 1 / max(1, event.gateway_set_size)
         self.share = self.fair_share  # of quota and burst
         self.tokens = max(largest_cost, plan.burst * self.fair_share)
-        # Danger: a restarted gateway does not know what it sent before. Counted as empty at its start, its
-        # share of the hard limit can never be spent twice.
+        # A hard limit must hold across a restart, and this process does not know what the one before it
+        # forwarded: the share is counted as empty at the start, so that it can't be spent twice.
         self.hard_limit_tokens = age_ms / 1000 * plan.hard_limit_rate * self.fair_share
         self.refilled_at = now
         self.retention_ms = max(LEASE_MS, plan.hard_limit_burst / max(plan.hard_limit_rate, 1e-9) * 1000)
-        is_sparse = plan.burst * self.fair_share < SPARSE_BURST * largest_cost and plan.rate > 0
+        is_sparse = plan.burst * self.fair_share < MIN_LOCAL_BURST * largest_cost and plan.rate > 0
         self.shared_bucket = SharedTokenBucket.of(self.key, plan.rate, plan.burst) if is_sparse else None
         fill_ms = plan.burst / max(plan.rate, 1e-9) * 1000
         self.period_ms = min(LEASE_MS, max(REFRESH_INTERVAL_MS, fill_ms))  # an empty burst is full after it
+        self.total_lifetime_ms = MEMORY_MS if is_sparse else 4 * self.period_ms  # on the counter
         self.expires_at = now + LEASE_MS
         self.fresh_until = now
         self.empty_until = self.likely_empty_until = now  # of the shared bucket, as last read
-        self.demand_here = self.demand_of_all = 0.0  # units lately asked for here, and at all gateways
+        self.demand_here = self.demand_of_all = 0.0  # recent units, here and at all gateways; they decay
         self.demand_at = now
         self.last_period, self.last_total = -1, 0.0  # of the counter, as last read
         self.in_flight = 0
@@ -53,7 +76,7 @@
     def refill(self, now: float) -> None:
         """Add the tokens earned since the last refill, up to this gateway's share of the burst."""
         if now > self.expires_at:
-            self.share = self.fair_share  # an unheard lease reverts to the safe capacity
+            self.share = self.fair_share  # an expired lease reverts to the share that is safe without calls
         plan = self.plan
         elapsed_s = (now - self.refilled_at) / 1000
         self.refilled_at = now
@@ -68,39 +91,75 @@
             self.tokens -= cost
         self.hard_limit_tokens -= cost
 
-    def resize(self, now: float, period: int, amount: float, total: float) -> None:
-        """Size a lease that is spent locally by a period's total, to which this gateway added an amount.
+    def begin_attempt(self) -> None:
+        """Count an attempt in flight."""
+        self.in_flight += 1
+
+    def end_attempt(self) -> None:
+        """Count an attempt that is no longer in flight."""
+        self.in_flight -= 1
+
+    def record_usage(self, units: float, already_reported: float = 0.0) -> None:
+        """Add units to the next report, less what the counter already holds of them."""
+        self.unreported_usage = self.unreported_usage + units - already_reported
+
+    def take_unreported_usage(self) -> float:
+        """The units for a report that is being made; each is reported once."""
+        units = self.unreported_usage
+        self.unreported_usage = 0.0
+        return units
+
+    def claim_report_timer(self) -> bool:
+        """Whether a timer has to be set for a report of shared usage; at most one is set at a time."""
+        has_usage = self.shared_bucket is not None and abs(self.unreported_usage) >= MIN_REPORT_UNITS
+        if not has_usage or self.has_report_timer:
+            return False
+        self.has_report_timer = True
+        return True
+
+    def release_report_timer(self) -> None:
+        """Note that the timer for a report has fired."""
+        self.has_report_timer = False
+
+    def begin_refresh(self, now: float) -> None:
+        """Make no further refresh for a while, whether this one gets a response or not."""
+        self.fresh_until = now + REFRESH_INTERVAL_MS
+
+    def resize(self, now: float, period: int, units: float, total: float) -> None:
+        """Resize a lease that is spent locally by a period's total, to which this gateway added `units`.
 
-        The total holds the units asked for and those owed; the local bucket gets a share of what is left.
+        The total holds the demand at all gateways and the debt carried over. The share follows this gateway's
+        part of the recent demand, and the local bucket gets the share of what remains of the quota.
         """
-        before = self.last_total
+        previous_total = self.last_total
         is_same_period = period == self.last_period
-        fade = math.exp((self.demand_at - now) / DEMAND_MEMORY_MS)
+        decay = math.exp((self.demand_at - now) / DEMAND_MEMORY_MS)
         self.demand_at = now
-        self._note_total(now, period, total)
-        if is_same_period and total < before - TOTAL_TOLERANCE:
-            # Danger: the counter lost its totals; it would look as if nobody had asked for anything.
-            return
+        self._record_total(now, period, total)
+        if is_same_period and total < previous_total - TOTAL_TOLERANCE:
+            return  # the counter has lost its totals: this one does not show what the customer has used
         if is_same_period:
-            self.demand_here = self.demand_here * fade + amount
-            self.demand_of_all = self.demand_of_all * fade + max(amount, total - before)
+            self.demand_here = self.demand_here * decay + units
+            self.demand_of_all = self.demand_of_all * decay + max(units, total - previous_total)
         rate = self.plan.rate
-        paid = max(0.0, rate * (now - period * self.period_ms) / 1000)  # under 0 by rounding only
-        left = paid - (total - self.plan.burst)
-        load = min(1.0, self.demand_of_all * 1000 / DEMAND_MEMORY_MS / rate)
+        accrued = max(0.0, rate * (now - period * self.period_ms) / 1000)  # under 0 by rounding only
+        remaining = accrued - (total - self.plan.burst)
+        utilization = min(1.0, self.demand_of_all * 1000 / DEMAND_MEMORY_MS / rate)
         self.share = self.fair_share
         if self.demand_of_all:
-            self.share = 1 - (1 - min(1.0, self.demand_here / self.demand_of_all)) * load
-        self.tokens = max(self.tokens, left * self.share)
-        self.fresh_until = now + max(REFRESH_INTERVAL_MS, left / (SURGE * rate) * 1000)
+            self.share = 1 - (1 - min(1.0, self.demand_here / self.demand_of_all)) * utilization
+        self.tokens = max(self.tokens, remaining * self.share)
+        fresh_ms = remaining / (MAX_SPEND_RATE_MULTIPLE * rate) * 1000
+        self.fresh_until = now + max(REFRESH_INTERVAL_MS, fresh_ms)
 
     def accept_total(self, now: float, period: int, total: float, tolerance: float) -> bool:
-        """Take in a total of the shared bucket; false if the last level has to stand.
+        """Record a total of the shared bucket; false if the last level has to stand.
 
-        Danger: a counter that lost its totals looks as if nobody had spent anything.
+        Totals of one period only grow, but for small corrections. One that fell means that the counter has
+        lost its totals; taken as the level, it would grant the whole burst again.
         """
         is_accepted = period != self.last_period or total > self.last_total - tolerance
-        self._note_total(now, period, total)
+        self._record_total(now, period, total)
         return is_accepted
 
     def set_level(self, now: float, bucket: SharedTokenBucket, level: float, cost: float) -> None:
@@ -109,17 +168,18 @@
         self.share = max(self.fair_share, level / max(bucket.burst, 1e-9))
         self.empty_until = now + bucket.wait(cost - level)
         if level < cost:
-            self.likely_empty_until = self.empty_until + EMPTY_MEMORY_FILLS * bucket.wait(bucket.burst)
-        self.fresh_until = now + bucket.wait(level - cost) / SURGE
+            fill_ms = bucket.wait(bucket.burst)
+            self.likely_empty_until = self.empty_until + LIKELY_EMPTY_FILL_TIMES * fill_ms
+        self.fresh_until = now + bucket.wait(level - cost) / MAX_SPEND_RATE_MULTIPLE
 
-    def _note_total(self, now: float, period: int, total: float) -> None:
+    def _record_total(self, now: float, period: int, total: float) -> None:
         self.expires_at = now + LEASE_MS
         self.last_period = period
         self.last_total = total
 
 
 class LeaseTable:
-    """The leases of the customers that this gateway has lately met."""
+    """The leases of the customers that have recently sent requests to this gateway."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
@@ -137,13 +197,23 @@
             self._forget_idle(now)
         lease = self.by_customer.get(event.customer)
         if lease is None:
-            plan = self.plans.get(event.plan) or Plan(event.plan)  # an unknown plan has no quota to keep
-            lease = Lease(event, plan, self.settings.max_request_cost, now - self.started_at, now)
+            lease = Lease(
+                event,
+                plan=self.plans.get(event.plan) or Plan(event.plan),  # an unknown plan has no quota to keep
+                largest_cost=self.settings.max_request_cost,
+                age_ms=now - self.started_at,
+                now=now,
+            )
             self.by_customer[event.customer] = lease
         lease.refill(now)
         return lease
 
     def _forget_idle(self, now: float) -> None:
-        kept = [c for c in self.by_customer.values() if c.in_flight or now - c.refilled_at <= c.retention_ms]
-        self.by_customer = {lease.key: lease for lease in kept}
+        """Forget customers without attempts in flight whose buckets would be full again."""
+        active = [
+            lease
+            for lease in self.by_customer.values()
+            if lease.in_flight or now - lease.refilled_at <= lease.retention_ms
+        ]
+        self.by_customer = {lease.key: lease for lease in active}
         self.swept_at = now
--- a/gateway/policy/policy.py
+++ b/gateway/policy/policy.py
@@ -12,16 +12,16 @@
 from .admission import CALM_THRESHOLD, AdmissionController
 from .backend_table import BackendTable
 from .backends import Backend
-from .counter_calls import CounterReply
+from .counter_throttle import CounterThrottle
 from .leases import LeaseTable
 from .load_balancing import LoadBalancer
 from .outlier_detection import OutlierDetector
+from .quota_counter import QuotaCounter
 from .requests import FINISH_MARGIN_MS, PendingRequest
 from .response_stats import ResponseStats
 from .retries import RetryController
 from .settings import RequestClass, Settings
 from .timers import TimerKind, TimerToken
-from .usage_reporting import UsageReporter
 
 TIMER_TOLERANCE_MS = 1.0  # a timer that fires so little earlier than it was set for counts as in time
 
@@ -35,7 +35,8 @@
         self.request_classes = {c.name: c for c in settings.request_classes}
         self.requests: dict[str, PendingRequest] = {}
         self.leases = LeaseTable(settings)
-        self.usage = UsageReporter(settings, rng)
+        self.counter_throttle = CounterThrottle(rng)
+        self.counter = QuotaCounter(settings, self.counter_throttle, self.leases, self.requests)
         self.stats = ResponseStats()
         self.admission = AdmissionController(settings, rng, self.stats)
         self.backends = BackendTable(settings)
@@ -82,28 +83,23 @@
         )
         self.requests[request.id] = request
         if lease.shared_bucket is None:
-            self.usage.refresh_lease(now, request, out)
-        elif self.usage.read_bucket(now, request, out):
+            self.counter.lease_refresher.refresh(now, request, out)
+        elif self.counter.bucket_reader.read(now, request, out):
             return
         self._admit(now, request, out)
 
     def _on_client_disconnected(self, _now: float, event: events.ClientDisconnected, out: Actions) -> None:
         if request := self.requests.pop(event.request_id, None):
-            self.usage.give_back(request, out)
+            self.counter.usage.refund(request, out)
 
     def _on_counter_response(self, now: float, event: events.CounterResponse, out: Actions) -> None:
-        call = self.usage.take_call(event)
-        lease = self.leases.by_customer.get(call.customer) if call else None
-        if call is None or lease is None:
+        request = self.counter.on_response(now, event, out)
+        if request is None:
             return
-        request = self.requests.get(call.request_id)
-        if request is not None and request.attempt_count:
-            request = None  # it waited long enough, and was forwarded
-        is_decidable = self.usage.on_reply(CounterReply(now, call, event, lease, request), out)
-        if request is not None and is_decidable:
-            self._admit(now, request, out)
-            if event.outcome is events.Outcome.OK and lease.shared_bucket is not None:
-                self.usage.report(now, lease, lease.shared_bucket, out)
+        self._admit(now, request, out)
+        lease = request.lease
+        if event.outcome is events.Outcome.OK and lease.shared_bucket is not None:
+            self.counter.usage.report(now, lease, lease.shared_bucket, out)
 
     def _on_endpoint_update(self, _now: float, event: events.EndpointUpdate, out: Actions) -> None:
         if event.kind is events.UpdateKind.WATCH_FAILED:  # the last list stays in force
@@ -127,7 +123,7 @@
                 self._check_request(now, request, out)
         elif kind is TimerKind.USAGE_REPORT:
             if lease := self.leases.by_customer.get(subject):
-                self.usage.on_report_timer(now, lease, out)
+                self.counter.usage.on_report_timer(now, lease, out)
         elif kind is TimerKind.BUILD_ORDER:
             self.has_rebuild_timer = False
             self.backends.endpoints.continue_rebuild()
@@ -171,14 +167,14 @@
             self._finish(request, out, self.admission.quota_wait(request, shortfall))
             return
         if lease.shared_bucket is not None:
-            self.usage.charge(request, shortfall, out)
+            self.counter.usage.charge(request, shortfall, out)
         lease.spend(request.cost)
         self.retries.start(now, request, backend, out)
 
     def _finish(self, request: PendingRequest, out: Actions, quota_wait_ms: float = 0.0) -> None:
         """Give the one final response: a rejection only where a new request does no harm, else a failure."""
         del self.requests[request.id]
-        self.usage.give_back(request, out)
+        self.counter.usage.refund(request, out)
         wait_ms = self.admission.retry_after(request, quota_wait_ms)
         out.append(Reject(request.id, wait_ms) if request.is_safe_to_resend else Fail(request.id))
         self.retries.cancel_all(request, out)
--- /dev/null
+++ b/gateway/policy/quota_counter.py
@@ -0,0 +1,79 @@
+"""This gateway's use of the counter service: the parts that call it, and what each response leads to."""
+
+from collections.abc import Mapping
+
+from .actions import Actions
+from .counter_calls import (
+    CarryOverLeaseDebt,
+    CorrectTotal,
+    CounterCall,
+    PendingCounterCalls,
+    ReadBucketDebt,
+    ReadLeaseDebt,
+    ReadSharedBucket,
+    RefreshLease,
+)
+from .counter_throttle import CounterThrottle
+from .events import NOT_PROCESSED, CounterResponse, Outcome
+from .lease_refresh import LeaseRefresher
+from .leases import LeaseTable
+from .requests import PendingRequest
+from .settings import Settings
+from .shared_bucket_reads import SharedBucketReader
+from .usage_reporting import UsageReporter
+
+
+class QuotaCounter:
+    """Passes each response of the counter to the part that made the call."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        throttle: CounterThrottle,
+        leases: LeaseTable,
+        requests: Mapping[str, PendingRequest],
+    ) -> None:
+        self.throttle = throttle
+        self.leases = leases
+        self.requests = requests
+        self.calls = PendingCounterCalls()
+        self.lease_refresher = LeaseRefresher(settings, self.calls, throttle)
+        self.bucket_reader = SharedBucketReader(settings, self.calls, throttle)
+        self.usage = UsageReporter(settings, self.calls, throttle)
+
+    def on_response(self, now: float, response: CounterResponse, actions: Actions) -> PendingRequest | None:
+        """Handle a response; returns the request that has waited for it and can be decided now."""
+        call = self.calls.take(response)
+        if call is None:
+            return None
+        self.throttle.record(response.outcome)
+        lease = self.leases.by_customer.get(call.customer)
+        if lease is None:
+            return None
+        request = self._waiting_request(call)
+        if response.outcome in NOT_PROCESSED:  # a call that timed out may have been processed
+            self.usage.restore(call, lease, request)
+        if response.outcome is not Outcome.OK:
+            return request
+        total = response.total
+        match call:
+            case RefreshLease() | CarryOverLeaseDebt():
+                self.lease_refresher.on_total(now, lease, call, total, actions)
+            case ReadLeaseDebt():
+                self.lease_refresher.on_debt_read(now, lease, call, total, actions)
+            case CorrectTotal():
+                self.bucket_reader.on_corrected(lease, call, total, actions)
+            case ReadSharedBucket() if request is not None:
+                is_decidable = self.bucket_reader.on_total(now, request, call, total, actions)
+                return request if is_decidable else None
+            case ReadBucketDebt() if request is not None:
+                self.bucket_reader.on_debt_read(now, request, call, total, actions)
+                return request
+        return None
+
+    def _waiting_request(self, call: CounterCall) -> PendingRequest | None:
+        """The request that still waits for a call; None once it has been forwarded or finished."""
+        if not isinstance(call, ReadSharedBucket | ReadBucketDebt):
+            return None
+        request = self.requests.get(call.request_id)
+        return request if request is not None and not request.attempt_count else None
--- a/gateway/policy/requests.py
+++ b/gateway/policy/requests.py
@@ -39,14 +39,24 @@
     live_attempts: set[int] = field(default_factory=set)  # the numbers of those in flight
     tried_backend_ids: set[int] = field(default_factory=set)
     possibly_run: list[Attempt] = field(default_factory=list)  # or in flight, the earliest first
-    reported_cost: float = 0.0  # units that the counter holds of it; written by `UsageReporter`, as the next
-    assumed_shortfall: float | None = None  # tokens it lacks, where the bucket does not tell
+    reported_cost: float = 0.0  # units of it that the counter holds
+    assumed_shortfall: float | None = None  # tokens that it lacks, if its shared bucket is not read
 
     def schedule_check(self, now: float, at: float, out: Actions) -> None:
         """Look at the request again at a time, and at the latest when it has to be finished."""
         self.check_at = min(at, self.finish_by)
         out.append(SetTimer(max(0.0, self.check_at - now), TimerToken(TimerKind.REQUEST, self.id)))
 
+    def replace_reported_cost(self, units: float) -> float:
+        """Note the units of the request that the counter holds; returns those that it held before."""
+        previous = self.reported_cost
+        self.reported_cost = units
+        return previous
+
+    def assume_shortfall(self, tokens: float) -> None:
+        """Decide the request without reading its shared bucket, as if it lacked so many tokens."""
+        self.assumed_shortfall = tokens
+
     @property
     def is_safe_to_resend(self) -> bool:
         """Whether the client may send the request again without any risk of a second effect."""
--- a/gateway/policy/retries.py
+++ b/gateway/policy/retries.py
@@ -37,7 +37,7 @@
         """Start an attempt of a request at a backend."""
         self.backends.remember(backend)
         backend.in_flight += 1
-        request.lease.in_flight += 1
+        request.lease.begin_attempt()
         number = request.attempt_count
         out.append(StartAttempt(request.id, backend.id, start_before=request.retry_window_end()))
         attempt = self.attempts[request.id, number] = Attempt(request, backend, now)
@@ -54,7 +54,7 @@
             return None
         request = attempt.request
         attempt.backend.in_flight -= 1
-        request.lease.in_flight -= 1
+        request.lease.end_attempt()
         request.live_attempts.remove(event.attempt_number)
         if event.outcome in NOT_PROCESSED:
             request.possibly_run.remove(attempt)
--- a/gateway/policy/shared_bucket.py
+++ b/gateway/policy/shared_bucket.py
@@ -1,14 +1,20 @@
 """A customer's token bucket that many gateways share, kept as one total on the counter service.
 
-The total of a period holds the units spent in it, and what the period before left owed. Time pays it back:
-what the bucket holds follows from the total and the time alone, so one call both spends and reads.
+A token bucket holds up to `burst` units and gains `rate` units a second. The counter service only adds
+numbers up, so the bucket is kept as a total for each period of time: the units spent in it, and the debt
+carried over from the period before. The level follows from that total and the time alone, so one call both
+spends units and reads it.
 """
 
 import hashlib
 from dataclasses import dataclass
 
-PERIOD_MS = 15_000.0  # at most half of the minute that the counter keeps a name: the last one is read too
-MEMORY_MS = 4 * PERIOD_MS  # a total's life, from its first call
+PERIOD_MS = 15_000.0
+"""Length of a period. At most half of the minute for which the counter keeps a total: the last one is read,
+too."""
+
+MEMORY_MS = 4 * PERIOD_MS
+"""How long the counter keeps a total, from its first call."""
 
 
 def counter_key(customer: str) -> str:
@@ -20,9 +26,13 @@
 class SharedTokenBucket:
     """The token bucket of one customer; `now` is milliseconds on the policy's clock."""
 
-    offset: float  # of its periods: those of all customers together would end, and be carried over, at once
-    rate: float  # units a second
+    offset: float
+    """Milliseconds by which its periods begin early: if all customers' began at once, so would the calls that
+    carry debts over."""
+    rate: float
+    """Units a second."""
     burst: float
+    """Units."""
 
     @classmethod
     def of(cls, customer: str, rate: float, burst: float) -> "SharedTokenBucket":
@@ -36,13 +46,13 @@
 
     def level(self, now: float, period: int, spent: float) -> float:
         """Units held; over the burst where the customer was idle, which fills a real bucket no further."""
-        paid = self.rate * max(0.0, now + self.offset - period * PERIOD_MS) / 1000
-        return self.burst + paid - spent
+        accrued = self.rate * max(0.0, now + self.offset - period * PERIOD_MS) / 1000
+        return self.burst + accrued - spent
 
-    def owed(self, spent: float) -> float:
-        """What a whole period left to be paid back in the next one."""
+    def debt(self, spent: float) -> float:
+        """Units spent in a complete period beyond what it accrued, carried over to the next one."""
         return min(self.burst, max(0.0, spent - self.rate * PERIOD_MS / 1000))
 
     def wait(self, units: float) -> float:
-        """Milliseconds until time has paid so many units."""
+        """Milliseconds in which the bucket accrues so many units."""
         return max(0.0, units) * 1000 / max(self.rate, 1e-9)
--- /dev/null
+++ b/gateway/policy/shared_bucket_reads.py
@@ -0,0 +1,121 @@
+"""Reading and correcting the token buckets that many gateways share.
+
+A customer whose quota is too small to be divided among its gateways has one bucket, kept as a total on the
+counter service (`SharedTokenBucket`). A request that needs it waits while it is read.
+"""
+
+from .actions import Actions
+from .counter_calls import (
+    UNIT_DECIMALS,
+    CarryOverBucketDebt,
+    CorrectTotal,
+    PendingCounterCalls,
+    ReadBucketDebt,
+    ReadSharedBucket,
+    UndoCorrection,
+)
+from .counter_throttle import CallUrgency, CounterThrottle
+from .leases import TOTAL_TOLERANCE, Lease
+from .requests import PendingRequest
+from .settings import Settings
+
+MAX_DEVIATION = 0.5
+"""Fraction of the burst by which a level may be out of bounds before the total is corrected, and fraction of
+a correction by which the total after it may exceed the expected one before the correction is undone."""
+
+MAX_WAIT_TIMEOUTS = 2
+"""Call time-outs of the counter that a request waits for its read at most: it may need a second call."""
+
+
+class SharedBucketReader:
+    """Reads shared buckets for requests, as often as the counter's estimated capacity allows."""
+
+    def __init__(self, settings: Settings, calls: PendingCounterCalls, throttle: CounterThrottle) -> None:
+        self.settings = settings
+        self.calls = calls
+        self.throttle = throttle
+
+    def read(self, now: float, request: PendingRequest, actions: Actions) -> bool:
+        """Read the shared bucket for a request that needs it; true if the request waits for the response.
+
+        The call spends the tokens at once and a rejection gives them back, so that two gateways that call at
+        the same time don't both get the last token. Where a rejection is likely, the call only reads.
+
+        Client-side throttling: an overloaded counter can't handle a call for each request, and customers far
+        beyond their quotas send most of them. Such requests are rejected without a read, or admitted where
+        the plan loses nothing beyond its quota; the bucket fills for the requests that are still read for.
+        """
+        lease = request.lease
+        bucket = lease.shared_bucket
+        if bucket is None or not self.settings.counter_available or now < lease.empty_until:
+            return False
+        if now < lease.fresh_until and lease.tokens >= request.cost:
+            return False  # other gateways cannot have spent all of it since it was read
+        is_doubtful = now < lease.likely_empty_until or request.is_retry
+        is_over_quota_free = lease.plan.over_quota_cost <= lease.plan.over_quota_revenue
+        if is_over_quota_free:
+            urgency = CallUrgency.OVER_QUOTA_IS_FREE
+        elif is_doubtful:
+            urgency = CallUrgency.LIKELY_OVER_QUOTA
+        else:
+            urgency = CallUrgency.LIKELY_WITHIN_QUOTA
+        if not self.throttle.permits(urgency):
+            if is_over_quota_free and now >= lease.likely_empty_until:
+                request.assume_shortfall(0.0)
+            elif is_doubtful and not is_over_quota_free:
+                request.assume_shortfall(request.cost)
+            return False
+        reported_cost = 0.0 if is_doubtful else request.cost
+        request.replace_reported_cost(reported_cost)
+        units = round(lease.take_unreported_usage() + reported_cost, UNIT_DECIMALS)
+        self.calls.send(lease, ReadSharedBucket(lease.key, bucket.period(now), units, request.id), actions)
+        request.schedule_check(now, now + MAX_WAIT_TIMEOUTS * self.settings.counter_timeout_ms, actions)
+        return True
+
+    def on_total(
+        self, now: float, request: PendingRequest, call: ReadSharedBucket, total: float, actions: Actions
+    ) -> bool:
+        """Take the level of a bucket that was read; false if its debt has to be read before."""
+        if total <= call.units + TOTAL_TOLERANCE and self.throttle.permits_upkeep():
+            lease = request.lease
+            self.calls.send(lease, ReadBucketDebt(lease.key, call.period - 1, request.id), actions)
+            return False
+        self._take_level(now, request, call.period, total, actions)
+        return True
+
+    def on_debt_read(
+        self, now: float, request: PendingRequest, call: ReadBucketDebt, total: float, actions: Actions
+    ) -> None:
+        """Carry the debt of a period over to the next one, and take the level that this leaves."""
+        lease = request.lease
+        if lease.shared_bucket is None:
+            return
+        period = call.period + 1
+        debt = lease.shared_bucket.debt(total)
+        if debt > 0:
+            units = round(debt, UNIT_DECIMALS)
+            self.calls.send(lease, CarryOverBucketDebt(lease.key, period, units), actions)
+        self._take_level(now, request, period, debt + request.reported_cost, actions)
+
+    def on_corrected(self, lease: Lease, call: CorrectTotal, total: float, actions: Actions) -> None:
+        """Undo a correction if another gateway has made it, too."""
+        if (total - call.expected_total) / call.units > MAX_DEVIATION:
+            units = round(-call.units, UNIT_DECIMALS)
+            self.calls.send(lease, UndoCorrection(lease.key, call.period, units), actions)
+
+    def _take_level(
+        self, now: float, request: PendingRequest, period: int, total: float, actions: Actions
+    ) -> None:
+        """Take a bucket's level for the request's lease; a total that no bucket can have is corrected."""
+        lease = request.lease
+        bucket = lease.shared_bucket
+        if bucket is None or not lease.accept_total(now, period, total, max(bucket.burst, request.cost)):
+            return
+        unbounded_level = bucket.level(now, period, total - request.reported_cost)
+        level = max(0.0, min(unbounded_level, bucket.burst))
+        is_wrong = abs(unbounded_level - level) > MAX_DEVIATION * bucket.burst
+        if is_wrong and self.throttle.permits_upkeep():
+            surplus = round(unbounded_level - level, UNIT_DECIMALS)
+            expected_total = total + unbounded_level - level
+            self.calls.send(lease, CorrectTotal(lease.key, period, surplus, expected_total), actions)
+        lease.set_level(now, bucket, level, request.cost)
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -210,7 +210,7 @@
 
 def test_the_next_period_owes_what_time_has_not_paid_and_never_more_than_the_burst() -> None:
     paid = BUCKET.rate * PERIOD_MS / 1000
-    assert [BUCKET.owed(spent) for spent in (0.0, paid, paid + 3, paid + 50)] == [0.0, 0.0, 3.0, 8.0]
+    assert [BUCKET.debt(spent) for spent in (0.0, paid, paid + 3, paid + 50)] == [0.0, 0.0, 3.0, 8.0]
     # The last number is still there, and the counter takes no longer life.
     assert 2 * PERIOD_MS < MEMORY_MS <= 60_000.0
 
--- a/tests/policy/test_leases.py
+++ b/tests/policy/test_leases.py
@@ -138,7 +138,7 @@
         world = World()
         (call,) = counter_calls_in(world.ask())
         answer(world, call, 0, outcome)
-        world.gateway.usage.capacity = 1.0
+        world.gateway.counter_throttle.capacity = 1.0
         world.pass_time(600)
         (call,) = counter_calls_in(world.ask())
         assert call.amount == again
@@ -149,7 +149,7 @@
     world = World()
     added, asked = 0.0, 4000
     for _ in range(asked):
-        world.gateway.usage.capacity = 0.4
+        world.gateway.counter_throttle.capacity = 0.4
         for call in counter_calls_in(world.ask()):
             added += call.amount
             answer(world, call, 500.0)
@@ -271,7 +271,7 @@
 
 
 def crowded(world: World) -> World:
-    world.gateway.usage.capacity = 0.1
+    world.gateway.counter_throttle.capacity = 0.1
     return world
 
 
