--- a/tests/network/clients/test_request_parser.py
+++ b/tests/network/clients/test_request_parser.py
@@ -9,7 +9,7 @@
 from tests.support.event_loop import run_in_loop
 from tests.support.fake_services import FakeBackend, ScriptedReply
 from tests.support.gateway_harness import GatewayHarness, running_gateway
-from tests.support.policy_harness import settings
+from tests.support.policy_settings import settings
 from tests.support.replies import is_error, served_reply
 from tests.support.request_commands import request_command
 
--- a/tests/network/discovery/test_endpoint_watch.py
+++ b/tests/network/discovery/test_endpoint_watch.py
@@ -26,7 +26,7 @@
 from tests.support.event_loop import run_in_loop, wait_until
 from tests.support.fake_services import FakeBackend, FakeDiscovery, endpoint_entry
 from tests.support.gateway_harness import GatewayHarness, running_gateway
-from tests.support.policy_harness import settings
+from tests.support.policy_settings import settings
 from tests.support.resp_peer import LOCAL
 from tests.support.watch_harness import WatchHarness
 
--- a/tests/network/process/test_shutdown_schedule.py
+++ b/tests/network/process/test_shutdown_schedule.py
@@ -6,7 +6,7 @@
 
 from gateway.network.process.shutdown_schedule import ShutdownSchedule
 from gateway.policy.settings import RequestClass
-from tests.support.policy_harness import settings
+from tests.support.policy_settings import settings
 
 
 @pytest.mark.parametrize(
--- a/tests/network/test_dispatcher.py
+++ b/tests/network/test_dispatcher.py
@@ -29,9 +29,10 @@
 )
 from gateway.policy.timers import TimerKind, TimerToken
 from tests.support.event_loop import run_in_loop, wait_until
-from tests.support.policy_harness import BONUS, SAFE, StubPolicy, settings
+from tests.support.policy_settings import BONUS, IDEMPOTENT, settings
 from tests.support.request_commands import request_command
 from tests.support.resp_peer import LOCAL
+from tests.support.stub_policy import StubPolicy
 
 BACKEND = 7
 
@@ -52,7 +53,7 @@
             max_buffered_bytes=1_000_000,
         )
         self.dispatcher = Dispatcher(
-            settings(max_attempts=2, request_classes=(SAFE,)),
+            settings(max_attempts=2, request_classes=(IDEMPOTENT,)),
             seed=1,
             timers=timers,
             backends=self.backends,
--- a/tests/network/test_dispatcher_endings.py
+++ b/tests/network/test_dispatcher_endings.py
@@ -34,9 +34,9 @@
 from tests.support.fake_services import FakeBackend, FakeCounter, ScriptedReply
 from tests.support.gateway_harness import SETTINGS, GatewayHarness, running_gateway
 from tests.support.manual_server import ManualServer, full_accept_queue
-from tests.support.policy_harness import StubPolicy
 from tests.support.request_commands import request_command
 from tests.support.resp_peer import RespPeer, encode_command
+from tests.support.stub_policy import StubPolicy
 
 FIRST_BACKEND = 7
 SECOND_BACKEND = 8
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -10,22 +10,15 @@
 
 from gateway.policy.settings import Plan
 from gateway.policy.shared_bucket import MEMORY_MS, PERIOD_MS, SharedTokenBucket, counter_key
-from tests.support.fleet import (
-    Caller,
-    Conditions,
-    CountKey,
-    Fleet,
-    FleetEvent,
-    QuotaStore,
-    exponential_latency,
-)
+from tests.support.fleet import Conditions, CountKey, Fleet, FleetEvent, exponential_latency
+from tests.support.fleet_customers import Customer, ReferenceQuota
 
 GATEWAYS = 40
 SMALL = Plan("small", rate=0.4, burst=2, over_quota_cost=1.2)
 LARGE = Plan("large", rate=2, burst=4, over_quota_cost=0.8)
 
 
-def customers(seed: int = 5, small: int = 90, large: int = 20) -> list[Caller]:
+def customers(seed: int = 5, small: int = 90, large: int = 20) -> list[Customer]:
     """Most use a part of their quota, some nearly all of it, and one in eight asks four times as much."""
     chance, callers = random.Random(seed), []
     for number in range(small + large):
@@ -34,7 +27,7 @@
         first, spread = chance.randrange(GATEWAYS), chance.randint(20, GATEWAYS)
         gateways = [(first + place) % GATEWAYS for place in range(spread)]
         chance.shuffle(gateways)
-        callers.append(Caller(f"{plan.name}{number}", plan, use * plan.rate, gateways))
+        callers.append(Customer(f"{plan.name}{number}", plan, use * plan.rate, gateways))
     return callers
 
 
@@ -43,19 +36,19 @@
     offered = 0
 
     class Counting(Fleet):
-        def send_first(self, caller: Caller) -> None:
+        def send_new_request(self, caller: Customer) -> None:
             nonlocal offered
             offered += ideal[caller.name].take(self.now)
-            super().send_first(caller)
+            super().send_new_request(caller)
 
     callers = customers()
     conditions = Conditions(counter_calls_per_s=counter_per_s, client_retries=2)
     fleet = Counting(GATEWAYS, callers, conditions, max_retry_after_ms=1000.0)
-    ideal = {c.name: QuotaStore(c.plan, c.plan.burst, fleet.now) for c in callers}
+    ideal = {c.name: ReferenceQuota(c.plan, c.plan.burst, fleet.now) for c in callers}
     seen = fleet.play(20)
     inside, beyond = (
         sum(seen[CountKey(event, plan.name)] for plan in (SMALL, LARGE))
-        for event in (FleetEvent.SENT_WITHIN_QUOTA, FleetEvent.SENT_BEYOND_QUOTA)
+        for event in (FleetEvent.FORWARDED_WITHIN_QUOTA, FleetEvent.FORWARDED_BEYOND_QUOTA)
     )
     return inside / offered, beyond / offered
 
@@ -86,7 +79,7 @@
     """A policy that knows a customer's true store, as it was a little ago."""
 
     def __init__(self, plan: Plan, now: float) -> None:
-        self.store = QuotaStore(plan, plan.burst, now)
+        self.store = ReferenceQuota(plan, plan.burst, now)
         self.levels = deque([(now, plan.burst)])
 
     def price(self, now: float) -> float:
@@ -120,15 +113,15 @@
         gateways = [(first + place) % FULL_SIZE for place in range(spread)]
         chance.shuffle(gateways)
         weights = [(place + 1) ** -1.2 for place in range(spread)]
-        callers.append(Caller(f"{plan.name}{number}", plan, use * plan.rate, gateways, weights))
+        callers.append(Customer(f"{plan.name}{number}", plan, use * plan.rate, gateways, weights))
     offered, late_price = 0, 0.0
 
     class Counting(Fleet):
-        def send_first(self, caller: Caller) -> None:
+        def send_new_request(self, caller: Customer) -> None:
             nonlocal offered, late_price
             offered += ideal[caller.name].take(self.now)
             late_price += late[caller.name].price(self.now)
-            super().send_first(caller)
+            super().send_new_request(caller)
 
     fleet = Counting(
         FULL_SIZE,
@@ -142,11 +135,11 @@
         ),
     )
     late = {c.name: LateSeer(c.plan, fleet.now) for c in callers}
-    ideal = {c.name: QuotaStore(c.plan, c.plan.burst, fleet.now) for c in callers}
+    ideal = {c.name: ReferenceQuota(c.plan, c.plan.burst, fleet.now) for c in callers}
     seen = fleet.play(10)
-    inside = sum(seen[CountKey(FleetEvent.SENT_WITHIN_QUOTA, plan.name)] for plan in (THIN, WIDE))
+    inside = sum(seen[CountKey(FleetEvent.FORWARDED_WITHIN_QUOTA, plan.name)] for plan in (THIN, WIDE))
     price = sum(
-        seen[CountKey(FleetEvent.SENT_BEYOND_QUOTA, plan.name)] * plan.over_quota_cost
+        seen[CountKey(FleetEvent.FORWARDED_BEYOND_QUOTA, plan.name)] * plan.over_quota_cost
         for plan in (THIN, WIDE)
     )
     handled = seen[CountKey(FleetEvent.COUNTER_CALL_HANDLED)]
@@ -173,7 +166,7 @@
 def test_a_handful_out_is_not_taken_for_a_queue() -> None:
     """Danger: the ratio of five out to six answers a second jumps by chance, and every gateway refuses."""
     free = Plan("free")
-    callers = [Caller(f"c{i}", free, 6.0, [i]) for i in range(GATEWAYS)]
+    callers = [Customer(f"c{i}", free, 6.0, [i]) for i in range(GATEWAYS)]
     fleet = Fleet(GATEWAYS, callers, Conditions(latency_ms=exponential_latency(400)), counter_available=False)
     seen = fleet.play(30)
     assert seen[CountKey(FleetEvent.REQUESTED, "free")] > 6_000
@@ -186,7 +179,7 @@
 def test_a_handful_out_at_slow_backends_is_still_shed() -> None:
     """Danger: no gateway of a large fleet sees a queue, and all of them wait in it."""
     free = Plan("free")
-    callers = [Caller(f"c{i}", free, 6.0, [i]) for i in range(GATEWAYS)]
+    callers = [Customer(f"c{i}", free, 6.0, [i]) for i in range(GATEWAYS)]
     fleet = Fleet(GATEWAYS, callers, Conditions(latency_ms=lambda *_: 1_500.0), counter_available=False)
     seen = fleet.play(30)
     assert (
@@ -224,16 +217,16 @@
 @pytest.mark.parametrize("also", [False, True])
 def test_idle_time_is_taken_off_the_number_once(also: bool) -> None:
     """Danger: two gateways that put it right at once leave a calm customer in debt."""
-    caller = Caller("calm", LARGE, 0.2, list(range(30)))
+    caller = Customer("calm", LARGE, 0.2, list(range(30)))
     fleet = Fleet(GATEWAYS, [caller], Conditions(seed=3), max_retry_after_ms=1000.0)
-    fleet.send_request(caller, 1)
+    fleet.send_request(caller)
     fleet.play(0.1)
-    fleet.now += 6_000  # six seconds fill no further a bucket that was full
-    fleet.send_request(caller, 1)
+    fleet.stall(6)  # six seconds fill no further a bucket that was full
+    fleet.send_request(caller)
     if also:
-        fleet.send_request(caller, 1)
+        fleet.send_request(caller)
     fleet.play(0.1)
     bucket = SharedTokenBucket.of("calm", LARGE.rate, LARGE.burst)
     period = bucket.period(fleet.now)
-    level = bucket.level(fleet.now, period, fleet.counter_totals[f"{period}:{counter_key(caller.name)}"])
+    level = bucket.level(fleet.now, period, fleet.counter.totals[f"{period}:{counter_key(caller.name)}"])
     assert level == pytest.approx(fleet.quotas["calm"].refill(fleet.now), abs=1.0)
--- a/tests/policy/test_safety_rules.py
+++ b/tests/policy/test_safety_rules.py
@@ -17,9 +17,10 @@
     CounterResponse,
     EndpointState,
     Outcome,
-    UpdateKind,
 )
-from tests.support.policy_harness import FIRM, KEYED, SAFE, UNSAFE, World, backends, entry
+from tests.support.endpoints import create_endpoint, delta
+from tests.support.policy_harness import PolicyHarness, TimedAction
+from tests.support.policy_settings import FIRM, IDEMPOTENT, UNSAFE, WITH_KEY
 
 NEVER_RAN = {Outcome.QUEUE_FULL, Outcome.CONNECT_ERROR, Outcome.NOT_STARTED}
 OUTCOMES = list(Outcome)
@@ -34,7 +35,9 @@
     """Keeps the rules' books from outside while a random history is played."""
 
     def __init__(self, seed: int, may_duplicate: bool, started: bool) -> None:
-        self.world = World([entry(i, cell=i % 2) for i in range(5)], seed=seed, hedging_allowed=may_duplicate)
+        self.world = PolicyHarness(
+            [create_endpoint(i, cell=i % 2) for i in range(5)], seed=seed, hedging_allowed=may_duplicate
+        )
         self.may_duplicate = may_duplicate
         self.asked: dict[str, tuple[str, float]] = {}
         self.final: set[str] = set()
@@ -60,7 +63,7 @@
                 assert name != "wipe" or not ran
                 if name == "order":
                     assert all(
-                        b % 2 == action.backend_id % 2 and now - t <= KEYED.deduplication_window_ms
+                        b % 2 == action.backend_id % 2 and now - t <= WITH_KEY.deduplication_window_ms
                         for b, t in ran
                     )
                 ready = self.states[action.backend_id] is EndpointState.READY
@@ -91,14 +94,14 @@
         if outcome is Outcome.OK:
             self.final.add(request)
         finished = request in self.final
-        self.check(self.world.give(AttemptEnded(request, attempt, backend, outcome, 1, finished)))
+        self.check(self.world.deliver(AttemptEnded(request, attempt, backend, outcome, 1, finished)))
 
     def step(self, what: str, which: int, amount: int) -> None:
         world = self.world
         if what == "r":
-            name = (SAFE, KEYED, UNSAFE)[which % 3].name
-            self.asked[f"r{world.serial + 1}"] = (name, world.now + 500 + amount * 5)
-            self.check(world.ask(name, FIRM.name, "c", 2, 500 + amount * 5))
+            name = (IDEMPOTENT, WITH_KEY, UNSAFE)[which % 3].name
+            self.asked[world.next_request_id] = (name, world.now + 500 + amount * 5)
+            self.check(world.request(name, FIRM.name, remaining_ms=500 + amount * 5))
         elif what == "o" and (out := self.out()):
             self.end(*out[amount % len(out)], OUTCOMES[which])
         elif what == "t":
@@ -111,14 +114,14 @@
             self.states[backend] = state
             started = world.now - 100 if which > 4 else 0.0
             self.check(
-                world.give(backends(entry(backend, state, started, backend % 2), scope=UpdateKind.DELTA))
+                world.deliver(delta(create_endpoint(backend, state, started_at=started, cell=backend % 2)))
             )
         elif what == "c" and self.calls:
             call = self.calls.pop(0)
-            self.check(world.give(CounterResponse(call.name, OUTCOMES[which], amount / 10)))
+            self.check(world.deliver(CounterResponse(call.name, OUTCOMES[which], amount / 10)))
         elif what == "x" and (left := [r for r in self.sent if r not in self.final]):
             self.final.add(left[amount % len(left)])
-            self.check(world.give(ClientDisconnected(left[amount % len(left)])))
+            self.check(world.deliver(ClientDisconnected(left[amount % len(left)])))
 
     def pass_time(self, amount: float) -> None:
         for _ in range(int(amount // 50) + 1):
@@ -138,17 +141,19 @@
         referee.step(*step)
     referee.pass_time(4000)
     assert set(referee.asked) == referee.final, "every request has its one final response"
-    assert not referee.world.gateway.requests
+    assert not referee.world.policy.requests
 
 
-def history(seed: int) -> list[tuple[float, Action]]:
-    world = World(seed=seed)
+def history(seed: int) -> list[TimedAction]:
+    world = PolicyHarness(seed=seed)
     for i in range(400):
-        for action in world.ask(("view", "order", "wipe")[i % 3], ("basic", "firm")[i % 2], f"c{i % 17}"):
+        for action in world.request(
+            ("view", "order", "wipe")[i % 3], ("basic", "firm")[i % 2], customer=f"c{i % 17}"
+        ):
             if isinstance(action, StartAttempt) and i % 5:
-                world.end(action, OUTCOMES[i % 4])
+                world.end_attempt(action, OUTCOMES[i % 4])
             elif isinstance(action, IncrementCounter):
-                world.give(CounterResponse(action.name, OUTCOMES[i % 2 * 3], i / 100))
+                world.deliver(CounterResponse(action.name, OUTCOMES[i % 2 * 3], i / 100))
         world.pass_time(60)
     return world.log
 
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -19,7 +19,8 @@
 from gateway.policy.actions import Action, CancelAttempt
 from gateway.policy.events import AttemptEnded, Endpoint, EndpointState, EndpointUpdate, Outcome, UpdateKind
 from gateway.policy.settings import Idempotency, Plan, RequestClass, SafetyRules
-from tests.support.fleet import MS_PER_S, Caller, Conditions, CountKey, Fleet, FleetEvent
+from tests.support.fleet import Conditions, CountKey, Fleet, FleetEvent
+from tests.support.fleet_customers import MS_PER_S, Customer
 
 FREE = Plan("free")
 VIEW = RequestClass(
@@ -164,7 +165,7 @@
             max_retry_after_ms=CLIENT_RETRY_DELAY_MS,
         )
 
-    def _create_callers(self, seed: int) -> list[Caller]:
+    def _create_callers(self, seed: int) -> list[Customer]:
         scenario = self.scenario
         rng = random.Random(f"callers {seed}")
         callers = []
@@ -174,7 +175,7 @@
             rng.shuffle(gateways)  # a few get most of it, and so several times what others get
             fleet_rate = scenario.load * scenario.capacity * scenario.backend_count
             rate = fleet_rate / CALLERS_PER_GATEWAY / scenario.gateway_count
-            callers.append(Caller(f"c{number}", FREE, rate, gateways))
+            callers.append(Customer(f"c{number}", FREE, rate, gateways))
         return callers
 
     @staticmethod
@@ -194,17 +195,17 @@
         for index in range(scenario.gateway_count):
             self.deliver(index, update)
 
-    def send_first(self, caller: Caller) -> None:
+    def send_new_request(self, caller: Customer) -> None:
         """Customers ask more often in every third second."""
         is_burst = int(self.now // MS_PER_S) % 3 == 0
-        self._schedule_next_request(caller, caller.rate * (self.scenario.burst if is_burst else 1.0))
-        self.send_request(caller, 1)
+        self.schedule_next_request(caller, caller.rate * (self.scenario.burst if is_burst else 1.0))
+        self.send_request(caller)
 
     def carry_out(self, index: int, action: Action) -> None:
         """End cancelled attempts; all else as in any fleet."""
         if isinstance(action, CancelAttempt):
             key = AttemptKey(action.request_id, action.attempt_number)
-            self.schedule(0.0, lambda: self._end_attempt(key, Outcome.CANCELLED))
+            self.scheduler.schedule(0.0, lambda: self._end_attempt(key, Outcome.CANCELLED))
             return
         super().carry_out(index, action)
 
@@ -226,7 +227,7 @@
         key = AttemptKey(request_id, number)
         self._open_attempts[key] = OpenAttempt(index, backend_id, self.now)
         outcome, latency_ms = self._serve(backend_id, work)
-        self.schedule(latency_ms, lambda: self._end_attempt(key, outcome))
+        self.scheduler.schedule(latency_ms, lambda: self._end_attempt(key, outcome))
 
     def finish_without_result(self, request_id: str, retry_after_ms: float) -> None:
         """The request is over for all of its attempts."""
--- a/tests/policy/test_subset_use.py
+++ b/tests/policy/test_subset_use.py
@@ -22,8 +22,10 @@
 from gateway.policy.requests import PendingRequest
 from gateway.policy.subsetting import MAX_CHANGES_AT_ONCE
 from gateway.policy.timers import TimerKind, TimerToken
-from tests.support.policy_harness import KEYED, RULES, SAFE, World, attempts_in, entry, settings
-from tests.support.reference_subset import DRAINING, FLEET_SIZE, READY, ReferenceSubset, ready_endpoints
+from tests.support.endpoints import DRAINING, READY, create_endpoint, ready_endpoints
+from tests.support.policy_harness import PolicyHarness, attempts_in
+from tests.support.policy_settings import IDEMPOTENT, SAFETY_RULES, WITH_KEY, settings
+from tests.support.reference_subset import FLEET_SIZE, ReferenceSubset
 
 GATEWAY_INDEX = 1_234
 PART_SIZE = 64
@@ -49,8 +51,8 @@
         settings(
             gateway_index=GATEWAY_INDEX,
             gateway_count=FLEET_SIZE,
-            safety_rules=RULES,
-            request_classes=(SAFE, KEYED),
+            safety_rules=SAFETY_RULES,
+            request_classes=(IDEMPOTENT, WITH_KEY),
         ),
         seed=1,
     )
@@ -73,7 +75,7 @@
     assert len(gateway.backends.known) == len(gateway.subset) < 100
 
     for number in range(9_000):
-        change = entry(rng.randrange(9_000), rng.choice((READY, DRAINING)))
+        change = create_endpoint(rng.randrange(9_000), rng.choice((READY, DRAINING)))
         gateway.handle(2_000.0 + number, EndpointUpdate(UpdateKind.DELTA, (change,)))
         assert len(gateway.backends.known) <= len(gateway.subset) + MAX_KNOWN_OUTSIDE + 1
 
@@ -82,12 +84,17 @@
 
 def test_a_retry_with_an_idempotency_key_finds_its_cell_outside_the_subset() -> None:
     """The subset of a long list holds few backends of a cell, or none."""
-    world = World([entry(1)], gateway_index=3, gateway_count=FLEET_SIZE, request_classes=(SAFE, KEYED))
-    world.give(EndpointUpdate(UpdateKind.SNAPSHOT, tuple(ready_endpoints(range(2_000), cells=100))))
+    world = PolicyHarness(
+        [create_endpoint(1)],
+        gateway_index=3,
+        gateway_count=FLEET_SIZE,
+        request_classes=(IDEMPOTENT, WITH_KEY),
+    )
+    world.deliver(EndpointUpdate(UpdateKind.SNAPSHOT, tuple(ready_endpoints(range(2_000), cells=100))))
     world.pass_time(10)
-    (first,) = attempts_in(world.ask("order"))
+    (first,) = attempts_in(world.request("order"))
 
-    (retry,) = attempts_in(world.end(first, Outcome.CONNECTION_RESET, finished=False))
+    (retry,) = attempts_in(world.end_attempt(first, Outcome.CONNECTION_RESET, request_finished=False))
 
     assert retry.backend_id % 100 == first.backend_id % 100
     assert retry.backend_id != first.backend_id
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -13,15 +13,8 @@
 from gateway.policy.events import Endpoint, EndpointUpdate, UpdateKind
 from gateway.policy.ring import Ring
 from gateway.policy.subsetting import MAX_SAMPLE_SIZE, REBUILD_STEP, EndpointSubset
-from tests.support.policy_harness import entry
-from tests.support.reference_subset import (
-    DRAINING,
-    FLEET_SIZE,
-    READY,
-    REMOVED,
-    ReferenceSubset,
-    ready_endpoints,
-)
+from tests.support.endpoints import DRAINING, READY, REMOVED, create_endpoint, ready_endpoints
+from tests.support.reference_subset import FLEET_SIZE, ReferenceSubset
 
 
 def create_subset(
@@ -56,7 +49,7 @@
 def random_snapshot(rng: random.Random, listed: dict[int, Endpoint], limit: int) -> Update:
     """A new list that keeps few, most or all of the old one."""
     kept = [endpoint for endpoint in listed.values() if rng.random() < rng.choice((0.1, 0.9, 1.0))]
-    new = [entry(rng.randrange(10**6), cell=rng.randrange(9)) for _ in range(limit // 8)]
+    new = [create_endpoint(rng.randrange(10**6), cell=rng.randrange(9)) for _ in range(limit // 8)]
     shuffled = [*kept, *new]
     rng.shuffle(shuffled)
     endpoints = list({endpoint.backend_id: endpoint for endpoint in shuffled}.values())
@@ -70,7 +63,7 @@
     for _ in range(rng.choice((1, 1, 2, limit // 3))):
         old = rng.choice(list(listed.values()))
         state = rng.choice((READY, DRAINING, REMOVED, READY))
-        new = entry(rng.randrange(10**6), cell=rng.randrange(9))
+        new = create_endpoint(rng.randrange(10**6), cell=rng.randrange(9))
         changed = Endpoint(old.backend_id, old.zone, old.cell, rng.random() * 1e6, state)
         endpoints.append(new if len(listed) < limit and rng.random() < 0.5 else changed)
     return Update(UpdateKind.DELTA, endpoints, parts=1)
@@ -189,7 +182,11 @@
 
     for number in range(change_count):
         backend_id = rng.randrange(list_length)
-        for change in (entry(backend_id, DRAINING), entry(backend_id, REMOVED), entry(list_length + number)):
+        for change in (
+            create_endpoint(backend_id, DRAINING),
+            create_endpoint(backend_id, REMOVED),
+            create_endpoint(list_length + number),
+        ):
             apply_in_parts(subset, UpdateKind.DELTA, [change])
 
     assert not subset.is_rebuilding
@@ -247,12 +244,18 @@
 def test_drains_in_a_part_are_in_force_at_once_and_new_backends_with_the_last() -> None:
     subset = create_subset()
     apply_in_parts(subset, UpdateKind.SNAPSHOT, ready_endpoints(range(9)))
-    drained = [entry(backend_id, DRAINING) for backend_id in range(4)]
+    drained = [create_endpoint(backend_id, DRAINING) for backend_id in range(4)]
 
-    subset.apply(EndpointUpdate(UpdateKind.SNAPSHOT, (*drained, entry(20)), is_first=True, is_last=False))
+    subset.apply(
+        EndpointUpdate(UpdateKind.SNAPSHOT, (*drained, create_endpoint(20)), is_first=True, is_last=False)
+    )
     assert subset.backends == [4, 5, 6, 7, 8]
 
-    subset.apply(EndpointUpdate(UpdateKind.SNAPSHOT, (entry(4), entry(21)), is_first=False, is_last=True))
+    subset.apply(
+        EndpointUpdate(
+            UpdateKind.SNAPSHOT, (create_endpoint(4), create_endpoint(21)), is_first=False, is_last=True
+        )
+    )
     assert subset.backends == [4, 20, 21]
 
 
@@ -262,10 +265,14 @@
 def test_a_snapshot_that_breaks_off_adds_no_backend(next_kind: UpdateKind, expected: list[int]) -> None:
     subset = create_subset()
     apply_in_parts(subset, UpdateKind.SNAPSHOT, ready_endpoints(range(3)))
-    subset.apply(EndpointUpdate(UpdateKind.SNAPSHOT, (entry(0), entry(7)), is_first=True, is_last=False))
+    subset.apply(
+        EndpointUpdate(
+            UpdateKind.SNAPSHOT, (create_endpoint(0), create_endpoint(7)), is_first=True, is_last=False
+        )
+    )
 
     apply_in_parts(subset, next_kind, ready_endpoints(range(1, 4)))
-    late_part = EndpointUpdate(UpdateKind.SNAPSHOT, (entry(8),), is_first=False, is_last=True)
+    late_part = EndpointUpdate(UpdateKind.SNAPSHOT, (create_endpoint(8),), is_first=False, is_last=True)
     subset.apply(late_part)
 
     assert subset.backends == expected
@@ -280,7 +287,9 @@
     rng = random.Random(4)
 
     while subset.is_rebuilding:
-        changes = [entry(rng.randrange(6_000), rng.choice((READY, DRAINING, REMOVED))) for _ in range(20)]
+        changes = [
+            create_endpoint(rng.randrange(6_000), rng.choice((READY, DRAINING, REMOVED))) for _ in range(20)
+        ]
         apply_in_parts(subset, UpdateKind.DELTA, changes)
         reference.apply(UpdateKind.DELTA, changes)
         subset.continue_rebuild()
--- a/tests/support/clients.py
+++ b/tests/support/clients.py
@@ -16,8 +16,9 @@
 from gateway.network.dispatcher import Dispatcher
 from gateway.network.timers import TimerQueue
 from gateway.policy.settings import Idempotency, Plan, RequestClass
-from tests.support.policy_harness import StubPolicy, settings
+from tests.support.policy_settings import settings
 from tests.support.resp_peer import LOCAL, RespPeer
+from tests.support.stub_policy import StubPolicy
 
 VIEW = RequestClass("view", 1500, 4000, idempotency=Idempotency.IDEMPOTENT)
 PARSER = RequestParser(settings(gateway_count=1, request_classes=(VIEW,), plans=(Plan("free"),)))
--- /dev/null
+++ b/tests/support/fleet_customers.py
@@ -0,0 +1,61 @@
+"""The customers of a fleet, and the true state of their quotas."""
+
+from __future__ import annotations
+
+import math
+from dataclasses import dataclass, field
+
+from gateway.policy.settings import Plan
+
+MS_PER_S = 1000.0
+
+
+@dataclass
+class Customer:
+    """A customer's rate of requests, and the gateways that it sends them to."""
+
+    name: str
+    plan: Plan
+    rate: float
+    """Requests a second, without retries."""
+    gateways: list[int]
+    weights: list[float] = field(default_factory=list)
+    """Relative frequencies of the gateways; unless given, that of place n is 1/n."""
+
+    def __post_init__(self) -> None:
+        """Set the default weights."""
+        self.weights = self.weights or [1 / (place + 1) for place in range(len(self.gateways))]
+
+
+@dataclass
+class ReferenceQuota:
+    """The token bucket that a customer's contract describes: requests beyond the quota take no token."""
+
+    plan: Plan
+    tokens: float
+    refilled_at: float
+
+    @classmethod
+    def full(cls, plan: Plan, now: float) -> ReferenceQuota:
+        """A quota whose whole burst is available."""
+        return cls(plan, plan.burst, now)
+
+    def take(self, now: float) -> bool:
+        """Take one token; False if there is none."""
+        is_available = self.has_token(now)
+        if is_available:
+            self.tokens -= 1
+        return is_available
+
+    def has_token(self, now: float) -> bool:
+        """Whether one request would be within the quota."""
+        return self.refill(now) >= 1
+
+    def refill(self, now: float) -> float:
+        """Add the tokens earned since the last refill; returns the tokens held, infinite without a quota."""
+        if not self.plan.rate:
+            return math.inf
+        earned = (now - self.refilled_at) / MS_PER_S * self.plan.rate
+        self.tokens = min(self.plan.burst, self.tokens + earned)
+        self.refilled_at = now
+        return self.tokens
--- a/tests/support/policy_harness.py
+++ b/tests/support/policy_harness.py
@@ -1,197 +1,224 @@
-"""A small bench-free world for one gateway: settings, a clock and the answers it asks for."""
+"""One gateway's policy in virtual time: tests deliver its events and look at its actions."""
 
 from __future__ import annotations
 
-import heapq
 from collections.abc import Iterable
-from typing import Any
-
-from gateway.policy.actions import Action, IncrementCounter, Reject, SetTimer, StartAttempt
+from functools import partial
+from typing import Any, NamedTuple, Self
+
+from gateway.policy.actions import (
+    Action,
+    CancelAttempt,
+    Fail,
+    IncrementCounter,
+    Reject,
+    SetTimer,
+    StartAttempt,
+)
 from gateway.policy.events import (
     AttemptEnded,
+    CounterResponse,
     Endpoint,
-    EndpointState,
-    EndpointUpdate,
     Event,
     Outcome,
     RequestArrived,
     TimerFired,
-    UpdateKind,
 )
+from gateway.policy.leases import Lease
 from gateway.policy.policy import GatewayPolicy
-from gateway.policy.settings import DeduplicationScope, Idempotency, Plan, RequestClass, SafetyRules, Settings
-from gateway.policy.timers import TimerToken
-
-SAFE = RequestClass(
-    "view", latency_objective_ms=1000, deadline_ms=3000, priority_weight=1, idempotency=Idempotency.IDEMPOTENT
-)
-KEYED = RequestClass(
-    "order",
-    latency_objective_ms=1000,
-    deadline_ms=3000,
-    priority_weight=4,
-    idempotency=Idempotency.WITH_KEY,
-    deduplication_scope=DeduplicationScope.CELL,
-    deduplication_window_ms=2000,
-)
-UNSAFE = RequestClass(
-    "wipe", latency_objective_ms=1000, deadline_ms=3000, priority_weight=2, idempotency=Idempotency.UNSAFE
-)
-BASIC = Plan("basic", rate=2, burst=8, over_quota_cost=1)
-FIRM = Plan(
-    "firm", rate=10, burst=20, concurrency_limit=8, over_quota_cost=1, hard_limit_rate=20, hard_limit_burst=40
-)
-BONUS = Plan("bonus", rate=1, burst=2, over_quota_revenue=0.2)
-RULES = SafetyRules(1000, 0.2, 10_000, 2)
-
-
-def settings(**changes: Any) -> Settings:
-    values: dict[str, object] = {
-        "gateway_index": 0,
-        "gateway_count": 2,
-        "zone": "a",
-        "request_classes": (SAFE, KEYED, UNSAFE),
-        "plans": (BASIC, FIRM, BONUS),
-        "safety_rules": RULES,
-        "max_attempts": 3,
-        "cancellation_supported": True,
-        "counter_available": True,
-        "max_retry_after_ms": 500.0,
-        "counter_timeout_ms": 50.0,
-    }
-    values.update(changes)
-    return Settings(**values)  # type: ignore[arg-type]
-
-
-def entry(
-    backend: int, state: EndpointState = EndpointState.READY, started: float = 0, cell: int = 0
-) -> Endpoint:
-    return Endpoint(backend, "a", cell, started, state)
-
-
-def backends(*entries: Endpoint, scope: UpdateKind = UpdateKind.SNAPSHOT) -> EndpointUpdate:
-    return EndpointUpdate(scope, entries)
-
-
-class World:
-    """Feeds events to one gateway and remembers its actions, each with the time it came."""
-
-    def __init__(self, entries: Iterable[Endpoint] = (), seed: int = 1, **changes: Any) -> None:
-        self.gateway = GatewayPolicy(settings(**changes), seed)
-        self.now, self.serial = 10_000.0, 0
-        self.timers: list[tuple[float, int, TimerToken]] = []
-        self.log: list[tuple[float, Action]] = []
-        self.give(backends(*(tuple(entries) or (entry(1), entry(2, cell=1), entry(3)))))
-
-    def give(self, event: Event) -> list[Action]:
-        actions = self.gateway.handle(self.now, event)
-        self.log += [(self.now, a) for a in actions]
-        for a in actions:
-            if isinstance(a, SetTimer):
-                heapq.heappush(self.timers, (self.now + a.delay_ms, len(self.log), a.token))
+from tests.support.endpoints import create_endpoint, snapshot
+from tests.support.policy_settings import BASIC, IDEMPOTENT, UNLIMITED, settings
+from tests.support.virtual_scheduler import VirtualScheduler
+
+START_MS = 10_000.0
+"""The virtual time at which a harness starts."""
+DEFAULT_ENDPOINTS = (create_endpoint(1), create_endpoint(2, cell=1), create_endpoint(3))
+"""Three ready backends, two of them in one cell."""
+
+
+class TimedAction(NamedTuple):
+    """An action, and the time at which the policy returned it."""
+
+    at: float
+    action: Action
+
+
+class PolicyHarness:
+    """Delivers events to one policy, fires its timers and records its actions."""
+
+    def __init__(
+        self, endpoints: Iterable[Endpoint] = DEFAULT_ENDPOINTS, seed: int = 1, **changes: Any
+    ) -> None:
+        """Create a policy that knows the endpoints; `changes` are of the default settings."""
+        self.policy = GatewayPolicy(settings(**changes), seed)
+        self.scheduler = VirtualScheduler(START_MS)
+        self.log: list[TimedAction] = []
+        self._last_request_number = 0
+        self.deliver(snapshot(*endpoints))
+
+    @classmethod
+    def without_quotas(
+        cls, endpoints: Iterable[Endpoint] = DEFAULT_ENDPOINTS, seed: int = 1, **changes: Any
+    ) -> Self:
+        """A harness whose requests have no quota, so that backends and load alone decide."""
+        return cls(endpoints, seed, plans=(UNLIMITED,), counter_available=False, **changes)
+
+    @property
+    def now(self) -> float:
+        """The virtual time in milliseconds."""
+        return self.scheduler.now
+
+    @property
+    def actions(self) -> list[Action]:
+        """All actions since the start."""
+        return [action for _, action in self.log]
+
+    @property
+    def next_request_id(self) -> str:
+        """The id that the next request will have."""
+        return f"r{self._last_request_number + 1}"
+
+    def deliver(self, event: Event) -> list[Action]:
+        """Let the policy handle an event now; returns the actions that follow."""
+        actions = self.policy.handle(self.now, event)
+        for action in actions:
+            self.log.append(TimedAction(self.now, action))
+            if isinstance(action, SetTimer):
+                self.scheduler.schedule(action.delay_ms, partial(self.deliver, TimerFired(action.token)))
         return actions
 
-    def ask(
+    def request(
         self,
-        name: str = "view",
-        plan: str = "basic",
+        request_class: str = IDEMPOTENT.name,
+        plan: str = BASIC.name,
+        *,
         customer: str = "c",
-        spread: int = 2,
-        life: float = 3000,
+        gateway_set_size: int = 2,
+        remaining_ms: float = 3000,
     ) -> list[Action]:
-        self.serial += 1
-        return self.give(
-            RequestArrived(f"r{self.serial}", name, plan, customer, self.now + life, 1.0, spread, 0)
+        """Deliver a request of one cost unit that has so much time until its deadline."""
+        request_id = self.next_request_id
+        self._last_request_number += 1
+        return self.deliver(
+            RequestArrived(
+                request_id=request_id,
+                request_class=request_class,
+                plan=plan,
+                customer=customer,
+                deadline=self.now + remaining_ms,
+                cost=1.0,
+                gateway_set_size=gateway_set_size,
+                gateway_set_start=0,
+            )
         )
 
-    def end(
+    def end_attempt(
         self,
-        send: StartAttempt,
+        attempt: StartAttempt,
         outcome: Outcome = Outcome.OK,
-        attempt: int = 0,
-        finished: bool | None = None,
+        *,
+        attempt_number: int = 0,
+        request_finished: bool | None = None,
     ) -> list[Action]:
-        done = outcome is Outcome.OK if finished is None else finished
-        return self.give(AttemptEnded(send.request_id, attempt, send.backend_id, outcome, 1.0, done))
+        """Deliver the end of an attempt; unless stated, its request is finished if the outcome is OK."""
+        if request_finished is None:
+            request_finished = outcome is Outcome.OK
+        return self.deliver(
+            AttemptEnded(
+                request_id=attempt.request_id,
+                attempt_number=attempt_number,
+                backend_id=attempt.backend_id,
+                outcome=outcome,
+                latency_ms=1.0,
+                request_finished=request_finished,
+            )
+        )
+
+    def respond_to_counter(
+        self, call: IncrementCounter, total: float, outcome: Outcome = Outcome.OK
+    ) -> list[Action]:
+        """Deliver the counter's response to a call."""
+        return self.deliver(CounterResponse(call.name, outcome, total))
 
     def pass_time(self, milliseconds: float) -> list[Action]:
-        """Let time pass, with the timers firing as the gateway asked."""
-        actions: list[Action] = []
-        end = self.now + milliseconds
-        while self.timers and self.timers[0][0] <= end:
-            at, _, token = heapq.heappop(self.timers)
-            self.now = max(self.now, at)
-            actions += self.give(TimerFired(token))
-        self.now = end
-        return actions
+        """Let time pass, firing the timers that fall due; returns the actions that follow."""
+        first_new = len(self.log)
+        self.scheduler.advance(milliseconds)
+        return [action for _, action in self.log[first_new:]]
 
+    def stall(self, milliseconds: float) -> None:
+        """Let time pass during which no timer fires; those that fall due fire late."""
+        self.scheduler.skip(milliseconds)
 
-class StubPolicy:
-    """Stands in for the decision module: keeps the events, and answers each with what a test says."""
+    def last_attempt_number(self, request_id: str) -> int:
+        """The number of the latest attempt of a request."""
+        attempts = [attempt for attempt in attempts_in(self.actions) if attempt.request_id == request_id]
+        return len(attempts) - 1
 
-    def __init__(self) -> None:
-        self.events: list[Event] = []
-        self.actions_by_event: dict[type, list[Action] | Exception] = {}
+    def lease(self, customer: str = "c") -> Lease:
+        """The lease of a customer that has sent a request."""
+        return self.policy.leases.by_customer[customer]
 
-    def handle(self, now: float, event: Event) -> list[Action]:  # noqa: ARG002 - the signature of the policy
-        self.events.append(event)
-        answer = self.actions_by_event.get(type(event), [])
-        if isinstance(answer, Exception):
-            raise answer
-        return answer
+    def set_counter_capacity(self, capacity: float) -> None:
+        """Let the policy estimate that the counter has capacity for this fraction of the calls."""
+        self.policy.usage.capacity = capacity
 
-    def events_of(self, kind: type) -> list[Event]:
-        return [event for event in self.events if type(event) is kind]
+    def set_response_rate(self, responses_per_s: float) -> None:
+        """Let the policy have measured this rate of responses just now."""
+        self.policy.stats.response_rate = responses_per_s
+        self.policy.stats.responded_at = self.now
 
 
 def attempts_in(actions: Iterable[Action]) -> list[StartAttempt]:
-    return [a for a in actions if isinstance(a, StartAttempt)]
+    return [action for action in actions if isinstance(action, StartAttempt)]
+
+
+def cancellations_in(actions: Iterable[Action]) -> list[CancelAttempt]:
+    return [action for action in actions if isinstance(action, CancelAttempt)]
 
 
 def counter_calls_in(actions: Iterable[Action]) -> list[IncrementCounter]:
-    return [a for a in actions if isinstance(a, IncrementCounter)]
+    return [action for action in actions if isinstance(action, IncrementCounter)]
 
 
 def rejections_in(actions: Iterable[Action]) -> list[Reject]:
-    return [a for a in actions if isinstance(a, Reject)]
+    return [action for action in actions if isinstance(action, Reject)]
 
 
-UNLIMITED = Plan("basic")
-NO_QUOTA: dict[str, Any] = {"plans": (UNLIMITED,), "counter_available": False}
+def failures_in(actions: Iterable[Action]) -> list[Fail]:
+    return [action for action in actions if isinstance(action, Fail)]
 
 
-def world(*entries: Endpoint, **changes: Any) -> World:
-    """A world without quotas, so that only the backends decide."""
-    return World(entries, **{**NO_QUOTA, **changes})
+def only_attempt_in(actions: Iterable[Action]) -> StartAttempt:
+    """The attempt that the actions start; there must be exactly one."""
+    (attempt,) = attempts_in(actions)
+    return attempt
 
 
-def only_attempt_in(actions: list[Action]) -> StartAttempt:
-    """The only attempt that the actions start."""
-    (send,) = attempts_in(actions)
-    return send
+def only_counter_call_in(actions: Iterable[Action]) -> IncrementCounter:
+    """The call to the counter among the actions; there must be exactly one."""
+    (call,) = counter_calls_in(actions)
+    return call
 
 
-def backends_used(w: World, tries: int) -> set[int]:
-    """The backends that so many requests go to."""
+def backends_used(harness: PolicyHarness, request_count: int) -> set[int]:
+    """Serve a number of requests one after another; returns the backends of their attempts."""
     used = set()
-    for _ in range(tries):
-        send = only_attempt_in(w.ask())
-        w.pass_time(20)
-        w.end(send)
-        used.add(send.backend_id)
-        w.pass_time(20)
+    for _ in range(request_count):
+        attempt = only_attempt_in(harness.request())
+        harness.pass_time(20)
+        harness.end_attempt(attempt)
+        used.add(attempt.backend_id)
+        harness.pass_time(20)
     return used
 
 
-def serve_steadily(w: World, rounds: int = 60, gap: float = 20, lag: float = 20) -> None:
-    """Let the gateway meet steady traffic, so that it knows the usual latency and rate."""
-    for _ in range(rounds):
-        send = only_attempt_in(w.ask())
-        w.pass_time(lag)
-        w.end(send)
-        w.pass_time(gap)
-
-
-def last_attempt_number(w: World, send: StartAttempt) -> int:
-    """The number of the last attempt of a start's request."""
-    return sum(1 for _, a in w.log if isinstance(a, StartAttempt) and a.request_id == send.request_id) - 1
+def serve_steadily(
+    harness: PolicyHarness, request_count: int = 60, *, latency_ms: float = 20, pause_ms: float = 20
+) -> None:
+    """Serve requests one after another, so that the policy learns the usual latency and response rate."""
+    for _ in range(request_count):
+        attempt = only_attempt_in(harness.request())
+        harness.pass_time(latency_ms)
+        harness.end_attempt(attempt)
+        harness.pass_time(pause_ms)
--- a/tests/support/reference_subset.py
+++ b/tests/support/reference_subset.py
@@ -1,30 +1,30 @@
-"""A plain reference of deterministic subsetting, and endpoint lists to compare with it."""
+"""A plain reference implementation of deterministic subsetting, to compare the policy's subset with."""
 
 from __future__ import annotations
 
 import hashlib
 import math
+from collections.abc import Iterable
 
-from gateway.policy.events import Endpoint, EndpointState, UpdateKind
+from gateway.policy.events import Endpoint, UpdateKind
 from gateway.policy.subsetting import MIN_GATEWAYS_PER_BACKEND, SUBSET_SIZE
-from tests.support.policy_harness import entry
+from tests.support.endpoints import READY, REMOVED
 
-READY = EndpointState.READY
-DRAINING = EndpointState.DRAINING
-REMOVED = EndpointState.REMOVED
 FLEET_SIZE = 3_700
 """Gateways of the fleet that the long lists are for."""
 
 
 class ReferenceSubset:
-    """The plain way: everything is sorted and hashed at every change."""
+    """One gateway's subset of the endpoint list; sorts and hashes the whole list whenever it is read."""
 
     def __init__(self, gateway_index: int, gateway_count: int) -> None:
         self.gateway_index = gateway_index
         self.gateway_count = gateway_count
         self.listed: dict[int, Endpoint] = {}
 
-    def apply(self, kind: UpdateKind, endpoints: list[Endpoint]) -> None:
+    def apply(self, kind: UpdateKind, endpoints: Iterable[Endpoint]) -> None:
+        """Apply a complete update: anything but a delta drops the backends that it omits."""
+        endpoints = list(endpoints)
         if kind is not UpdateKind.DELTA:
             named = {endpoint.backend_id for endpoint in endpoints}
             self.listed = {
@@ -37,20 +37,20 @@
                 self.listed[endpoint.backend_id] = endpoint
 
     def ready_ids(self) -> list[int]:
+        """The ready backends, in the order of the list."""
         return [endpoint.backend_id for endpoint in self.listed.values() if endpoint.state is READY]
 
     def backend_ids(self) -> list[int]:
+        """The backends of this gateway's window, in the order of its round."""
         ready_ids = self.ready_ids()
         count = len(ready_ids)
         size = max(SUBSET_SIZE, MIN_GATEWAYS_PER_BACKEND * count / max(1, self.gateway_count))
         window_count = 2 ** max(0, math.floor(math.log2(max(1.0, count / size))))
-        round_number, number = divmod(self.gateway_index, window_count)
+        round_number, window = divmod(self.gateway_index, window_count)
         if window_count > 1:
-            ready_ids.sort(
-                key=lambda b: hashlib.blake2b(f"{round_number}:{b}".encode(), digest_size=8).digest()
-            )
-        return ready_ids[count * number // window_count : count * (number + 1) // window_count]
+            ready_ids.sort(key=lambda backend_id: self._sort_key(round_number, backend_id))
+        return ready_ids[count * window // window_count : count * (window + 1) // window_count]
 
-
-def ready_endpoints(backend_ids: range, cells: int = 5) -> list[Endpoint]:
-    return [entry(backend_id, cell=backend_id % cells) for backend_id in backend_ids]
+    @staticmethod
+    def _sort_key(round_number: int, backend_id: int) -> bytes:
+        return hashlib.blake2b(f"{round_number}:{backend_id}".encode(), digest_size=8).digest()
--- a/tests/support/virtual_time.py
+++ b/tests/support/virtual_time.py
@@ -1,4 +1,4 @@
-"""An event loop in virtual time: where nothing is left to do, its clock goes on to the next timer at once."""
+"""An event loop in virtual time: when nothing is ready, its clock jumps to the next timer."""
 
 from __future__ import annotations
 
@@ -7,32 +7,37 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-SETTLE_S = 0.002  # real time that sockets of this machine get to show what was written to them
+SETTLE_S = 0.002
+"""Real time in which sockets of this machine become readable after a write to their other end."""
 
 
-class _Selector(selectors.DefaultSelector):
+class VirtualTimeSelector(selectors.DefaultSelector):
+    """Polls real sockets; a wait in which none becomes ready advances the virtual clock instead."""
+
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        ready = super().select(SETTLE_S if timeout is None or timeout > 0 else 0)
+        may_wait = timeout is None or timeout > 0
+        ready = super().select(SETTLE_S if may_wait else 0)
         if not ready and timeout is not None:
             self.now += max(0.0, timeout)
         return ready
 
 
-class VirtualLoop(asyncio.SelectorEventLoop):
-    """Real sockets, but time passes only in waits, and then without waiting."""
+class VirtualTimeLoop(asyncio.SelectorEventLoop):
+    """An event loop on real sockets whose time is the virtual clock of its selector."""
 
     def __init__(self) -> None:
-        self._virtual = _Selector()
-        super().__init__(self._virtual)
+        self._virtual_selector = VirtualTimeSelector()
+        super().__init__(self._virtual_selector)
 
     def time(self) -> float:
-        return self._virtual.now
+        return self._virtual_selector.now
 
 
 def in_virtual_time(scenario: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    with asyncio.Runner(loop_factory=VirtualLoop) as runner:
+    """Run a scenario to its end in a loop of its own."""
+    with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
         runner.run(scenario())
