--- a/tests/network/discovery/test_delivery.py
+++ b/tests/network/discovery/test_delivery.py
@@ -15,7 +15,7 @@
 from gateway.policy.events import EndpointUpdate, UpdateKind
 from tests.support.event_loop import runs_in_loop
 from tests.support.fake_services import endpoint_entry, list_message
-from tests.support.policy_harness import settings
+from tests.support.policy_settings import settings
 from tests.support.watch_harness import WatchHarness, open_watch
 
 LIST_LENGTH = 1_000
