--- /dev/null
+++ b/gateway/network/backends/connecting.py
@@ -0,0 +1,52 @@
+"""Opening of TCP connections to backends."""
+
+from __future__ import annotations
+
+import errno
+import os
+import socket
+
+from gateway.errors import GatewayError
+from gateway.network.address import Address
+
+PENDING_CONNECT_RESULTS = (0, errno.EINPROGRESS)
+"""Results of a non-blocking connect that may still be established."""
+
+
+class BackendConnectError(GatewayError):
+    """A connection to a backend could not be begun: nothing was sent.
+
+    Attributes:
+        reason: the reason that the system gave.
+    """
+
+    def __init__(self, address: Address, reason: str) -> None:
+        super().__init__(f"connect to the backend at {address}: {reason}")
+        self.reason = reason
+
+
+def begin_connect(address: Address) -> socket.socket:
+    """Return a non-blocking socket that is connecting to a backend.
+
+    Raises:
+        BackendConnectError: no socket could be opened, or the system rejected the connect at once.
+    """
+    try:
+        connecting = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    except OSError as error:
+        raise BackendConnectError(address, _reason_of(error)) from error
+    try:
+        connecting.setblocking(False)
+        connecting.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        result = connecting.connect_ex(address)
+    except OSError as error:
+        connecting.close()
+        raise BackendConnectError(address, _reason_of(error)) from error
+    if result not in PENDING_CONNECT_RESULTS:
+        connecting.close()
+        raise BackendConnectError(address, os.strerror(result))
+    return connecting
+
+
+def _reason_of(error: OSError) -> str:
+    return error.strerror or "unknown reason"
--- a/gateway/network/backends/pool.py
+++ b/gateway/network/backends/pool.py
@@ -3,37 +3,30 @@
 from __future__ import annotations
 
 import asyncio
-import logging
-import math
-from collections import Counter
 
 from gateway.network.address import Address, parse_address
 from gateway.network.timers import TimerQueue, now_ms
 from gateway.policy.events import EndpointState, Outcome
 
 from .attempt import BackendAttempt
-from .connection import BackendConnection, ConnectionResources, PooledEndpoint
-
-log = logging.getLogger(__name__)
+from .connecting import BackendConnectError
+from .connection import BackendConnection
+from .endpoint import PooledConnection, PooledEndpoint
+from .failure_log import FailureLog
+from .resources import ConnectionResources
 
 MAX_IDLE_SHARE = 0.6
-"""Share of the keep-alive time after which an idle connection is closed, before the backend may close it."""
+"""Fraction of the keep-alive time after which an idle connection is closed, before the backend may do so."""
 
 SWEEP_INTERVAL_MS = 1_000.0
-"""Between two sweeps, in milliseconds; the decay of the idle-loss estimate goes by it."""
+"""Milliseconds between two sweeps, each of which decays the idle-loss estimate once."""
 
 DRAIN_GRACE_MARGIN_MS = 50.0
-"""Milliseconds before the end of the grace in which a draining backend still takes new work."""
-
-REUSE_DELAY_MS = 5.0
-"""Rest before a connection is used again: bytes that follow its last reply unrequested have come by then."""
-
-MAX_LOGGED_FAILURES = 5
-"""Peers and reasons that a sweep's log line names, the most frequent first."""
+"""Milliseconds before the end of a drain grace from which on no new work is sent, so that none is late."""
 
 
 class BackendPool:
-    """Connections to backends, by endpoint. Decides nothing: it sends as asked, or reports why not."""
+    """Connections to backends, by endpoint. It takes no decision: it sends an attempt, or ends it at once."""
 
     def __init__(  # noqa: PLR0913 - each is a setting of the deployment, named by its keyword
         self,
@@ -62,15 +55,16 @@
         self.drain_grace_ms = drain_grace_ms
         self.max_connections = max_connections
         self.resources = ConnectionResources(loop, connect_timeout_ms, max_buffered_bytes)
-        self.connections = self.resources.open_connections
-        # Danger: as tuples the addresses of a long list would be visited by the garbage collector after a
-        # change, all of them; texts are not.
+        self.connections: set[BackendConnection] = set()
+        """All that are not closed."""
+        # The garbage collector traverses tuples, but not strings: an `Address` for each backend would prolong
+        # its runs.
         self.addresses: dict[int, str] = {}
         """Addresses of all listed backends, as "host:port"."""
         self.endpoints: dict[int, PooledEndpoint] = {}
         """Endpoints of backends with connections, listed or draining."""
-        self.failed_connects: Counter[str] = Counter()
-        """Connections that could not be begun since the last sweep, by peer and reason."""
+        self.connect_failures = FailureLog("connecting to backends", "the attempts never ran")
+        """Connections that could not be begun since the last sweep."""
         self.timers.call_at(now_ms() + SWEEP_INTERVAL_MS, self.sweep)
 
     # ---- the endpoint list ----
@@ -80,15 +74,13 @@
         if state is not EndpointState.READY:
             self._drain(backend_id)
             return
-        self.addresses[backend_id] = f"{address[0]}:{address[1]}"
+        host, port = address
+        self.addresses[backend_id] = f"{host}:{port}"  # faster than `str(address)`
         if endpoint := self.endpoints.get(backend_id):
-            if endpoint.address != address:
-                endpoint.close_idle()
-                endpoint.address = address
-            endpoint.no_new_work_after = math.inf
+            endpoint.set_ready(address)
 
     def replace_endpoints(self, addresses: dict[int, str]) -> None:
-        """Apply a whole endpoint list, as ready backends' addresses; backends that it leaves out drain."""
+        """Apply a complete list, as the addresses of ready backends; backends that it omits drain."""
         for backend_id in self.endpoints.keys() - addresses.keys():
             self._drain(backend_id)
         self.addresses = addresses
@@ -96,9 +88,7 @@
     def _drain(self, backend_id: int) -> None:
         self.addresses.pop(backend_id, None)
         if endpoint := self.endpoints.get(backend_id):
-            grace_end = now_ms() + self.drain_grace_ms - DRAIN_GRACE_MARGIN_MS
-            endpoint.no_new_work_after = min(endpoint.no_new_work_after, grace_end)
-            endpoint.close_idle()
+            endpoint.begin_drain(now_ms() + self.drain_grace_ms - DRAIN_GRACE_MARGIN_MS)
 
     # ---- attempts ----
 
@@ -112,7 +102,7 @@
         if endpoint is None or not endpoint.accepts_new_work(now):
             attempt.end(Outcome.CONNECT_ERROR)
             return
-        connection = self._take_idle_connection(endpoint, now)
+        connection = endpoint.take_idle(now, self._max_idle_ms())
         if connection is not None:
             connection.start(attempt)
         else:
@@ -128,36 +118,29 @@
             outcome = Outcome.CONNECT_ERROR
         connection.end(outcome)
 
-    def _take_idle_connection(self, endpoint: PooledEndpoint, now: float) -> BackendConnection | None:
-        """Return the connection used last that has rested; close those on the way that are not usable."""
-        for connection in endpoint.idle_connections[::-1]:
-            idle_ms = now - connection.idle_since
-            if idle_ms < REUSE_DELAY_MS:
-                continue
-            if idle_ms < min(self.max_idle_ms, self.resources.idle_loss.limit_ms) and connection.is_alive():
-                endpoint.idle_connections.remove(connection)
-                return connection
-            connection.close()
-        return None
+    def _max_idle_ms(self) -> float:
+        """Return the idle time from which on a connection is not reused."""
+        return min(self.max_idle_ms, self.resources.idle_loss.limit_ms)
 
     def _connect(self, endpoint: PooledEndpoint, attempt: BackendAttempt) -> None:
         if len(self.connections) >= self.max_connections:
             self._close_longest_idle()
         if len(self.connections) >= self.max_connections:
-            # Better one attempt rejected than no descriptors left.
+            # Load shedding: without the bound, the process would run out of descriptors.
             attempt.end(Outcome.CONNECT_ERROR)
             return
         try:
-            self.connections.add(BackendConnection(self.resources, endpoint, attempt))
-        except OSError as error:
-            host, port = endpoint.address
-            self.failed_connects[f"{host}:{port} {error.strerror or 'unknown'}"] += 1
+            connection = BackendConnection(self.resources, endpoint, attempt, self.connections.discard)
+        except BackendConnectError as error:
+            self.connect_failures.record(endpoint.address, error.reason)
             attempt.end(Outcome.CONNECT_ERROR)
+            return
+        self.connections.add(connection)
 
     # ---- connections ----
 
     def _close_longest_idle(self) -> None:
-        longest_idle = [
+        longest_idle: list[PooledConnection] = [
             endpoint.idle_connections[0] for endpoint in self.endpoints.values() if endpoint.idle_connections
         ]
         if longest_idle:
@@ -168,20 +151,15 @@
         now = now_ms()
         self.resources.idle_loss.decay()
         self._sweep_endpoints(now)
-        _log_failures("connecting to backends", "the attempts never ran", self.failed_connects)
-        _log_failures(
-            "reading replies of backends", "the connections were closed", self.resources.malformed_replies
-        )
+        self.connect_failures.flush()
+        self.resources.reply_failures.flush()
         self.timers.call_at(now + SWEEP_INTERVAL_MS, self.sweep)
 
     def _sweep_endpoints(self, now: float) -> None:
-        max_idle_ms = min(self.max_idle_ms, self.resources.idle_loss.limit_ms)
+        max_idle_ms = self._max_idle_ms()
         used = {connection.endpoint for connection in self.connections}
         for backend_id, endpoint in list(self.endpoints.items()):
-            for connection in list(endpoint.idle_connections):
-                if now - connection.idle_since < max_idle_ms:
-                    break
-                connection.close()
+            endpoint.close_expired(now, max_idle_ms)
             if not endpoint.accepts_new_work(now) or endpoint not in used:
                 del self.endpoints[backend_id]
 
@@ -189,12 +167,3 @@
         """Close all connections; attempts on them end as if the connections broke."""
         for connection in list(self.connections):
             connection.end(connection.break_outcome())
-
-
-def _log_failures(operation: str, consequence: str, failures: Counter[str]) -> None:
-    """Log failures of a sweep interval in one line, and clear them."""
-    if not failures:
-        return
-    examples = ", ".join(f"{what} ({count})" for what, count in failures.most_common(MAX_LOGGED_FAILURES))
-    log.warning("%s failed %d times, %s: %s", operation, failures.total(), consequence, examples)
-    failures.clear()
--- a/gateway/network/dispatcher.py
+++ b/gateway/network/dispatcher.py
@@ -291,7 +291,7 @@
         request.attempts_in_flight[number] = attempt
         if 0 < action.timeout_ms < request.deadline - now:
             on_timeout = partial(self.backends.abandon, attempt, Outcome.TIMED_OUT)
-            attempt.timeout_timer = self.timers.call_at(now + action.timeout_ms, on_timeout)
+            attempt.set_timeout_timer(self.timers.call_at(now + action.timeout_ms, on_timeout))
         self.backends.start(attempt)
 
     def _report_not_started(self, action: StartAttempt, open_request: OpenRequest | None) -> None:
--- a/tests/network/backends/test_backend_pool.py
+++ b/tests/network/backends/test_backend_pool.py
@@ -1,4 +1,4 @@
-"""Attempts on the pool's connections, over loopback sockets."""
+"""The pool of connections to backends, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 import pytest
 
+from gateway.network.address import Address
 from gateway.network.backends import pool as backend_pool
-from gateway.network.backends.connection import BackendConnection
 from gateway.network.backends.pool import BackendPool
 from gateway.network.timers import now_ms
 from gateway.policy.events import EndpointState, Outcome
@@ -17,19 +17,21 @@
     POOL_SETTINGS,
     VALUE_REPLY,
     RecordedAttempt,
+    open_idle_connection,
     open_pool,
     scripted,
+    stop_polling,
     wait_for_reuse_delay,
 )
 from tests.support.event_loop import runs_in_loop, wait_until
 from tests.support.fake_services import FakeBackend, FakeServer, ScriptedReply
 from tests.support.gateway_harness import GatewayHarness, running_gateway
 
-# ---- what never ran ----
+# ---- attempts that never ran ----
 
 
 @runs_in_loop
-async def test_refused_connection_ends_as_connect_error() -> None:
+async def test_attempt_that_cannot_connect_ends_as_connect_error() -> None:
     backend = FakeBackend()
     async with open_pool(backend) as pool:
         backend.server.close()
@@ -37,6 +39,23 @@
         assert await RecordedAttempt(pool).result() == (Outcome.CONNECT_ERROR, b"")
 
 
+@runs_in_loop
+async def test_connect_that_cannot_begin_is_logged_with_peer_and_reason(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
+    async with open_pool() as pool:
+        pool.update(0, Address("255.255.255.255", 1), EndpointState.READY)  # TCP has no broadcast
+
+        assert await RecordedAttempt(pool).outcome() is Outcome.CONNECT_ERROR
+        pool.sweep()
+
+    (line,) = caplog.messages
+    assert line.startswith(
+        "connecting to backends failed 1 times, the attempts never ran: 255.255.255.255:1 "
+    )
+    assert line.endswith(" (1)")
+
+
 @runs_in_loop
 async def test_attempt_at_an_unlisted_backend_ends_as_connect_error() -> None:
     async with open_pool(FakeBackend()) as pool:
@@ -45,8 +64,8 @@
         assert await attempt.result() == (Outcome.CONNECT_ERROR, b"")
 
 
-class DeafServer(FakeServer):
-    """Reads nothing until it is told to abort the connection."""
+class NonReadingServer(FakeServer):
+    """Reads nothing, and aborts the connection once `may_abort` is set."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -60,13 +79,12 @@
 
 @runs_in_loop
 async def test_break_before_the_last_byte_ends_as_connect_error() -> None:
-    """Nobody reads, so the tail of a large request stays in the process until the connection breaks."""
-    server = DeafServer()
+    """The backend does not read, so the tail of a large request stays in the process."""
+    server = NonReadingServer()
     async with open_pool(server) as pool:
         attempt = RecordedAttempt(pool, body=b"x" * 32_000_000)
-        connection = attempt.attempt.connection
-        assert isinstance(connection, BackendConnection)
-        await wait_until(lambda: server.accepted and connection.is_waiting_to_write)
+        writer = attempt.connection.writer
+        await wait_until(lambda: server.accepted and writer.is_waiting)
 
         server.may_abort.set()
 
@@ -74,7 +92,7 @@
 
 
 @runs_in_loop
-async def test_timeout_before_the_connection_is_up_ends_as_connect_error() -> None:
+async def test_timeout_while_connecting_ends_as_connect_error() -> None:
     async with open_pool(FakeBackend()) as pool:
         attempt = RecordedAttempt(pool)
 
@@ -84,11 +102,11 @@
 
 
 @runs_in_loop
-async def test_drain_reported_while_connecting_keeps_the_request_back() -> None:
+async def test_request_is_not_sent_after_a_drain_reported_while_connecting() -> None:
     """The end of the grace holds at the first byte written, not when the attempt was started."""
     backend = FakeBackend()
     async with open_pool(backend, drain_grace_ms=0) as pool:
-        attempt = RecordedAttempt(pool)  # the connection is not up yet
+        attempt = RecordedAttempt(pool)  # its connection is being established
 
         pool.update(0, backend.address, EndpointState.DRAINING)
 
@@ -110,10 +128,10 @@
 
 @runs_in_loop
 async def test_retry_past_its_latest_start_once_connected_is_not_sent() -> None:
-    """Later than the backends remember the first attempt, it would run a second time."""
+    """Once the backends have forgotten the first attempt, it would run a second time."""
     backend = FakeBackend()
     async with open_pool(backend) as pool:
-        attempt = RecordedAttempt(pool)  # the connection is not up before the next turn of the loop
+        attempt = RecordedAttempt(pool)  # its connection is established in a later turn of the loop
 
         attempt.attempt.start_before = now_ms()
 
@@ -121,11 +139,11 @@
         assert not backend.received
 
 
-# ---- sending, abandoning, retrying ----
+# ---- sending, abandoning and retrying ----
 
 
 @runs_in_loop
-async def test_large_request_is_sent_whole() -> None:
+async def test_large_request_is_sent_completely() -> None:
     body = b"x" * 8_000_000
     backend = FakeBackend()
     async with open_pool(backend) as pool:
@@ -136,14 +154,13 @@
 
 
 @runs_in_loop
-async def test_abandoned_attempt_is_closed_before_its_end_is_reported() -> None:
-    """What follows an abandoned attempt is sent at once, and two must never be under way together."""
+async def test_connection_of_an_abandoned_attempt_is_closed_before_the_end_is_reported() -> None:
+    """The next attempt is sent at once, and two must never be in flight together."""
     backend = scripted(None)
     async with open_pool(backend) as pool:
         attempt = RecordedAttempt(pool)
         await wait_until(lambda: backend.received)
-        connection = attempt.attempt.connection
-        assert isinstance(connection, BackendConnection)
+        connection = attempt.connection
         closed_at_end: list[bool] = []
         attempt.attempt.on_end = lambda *_: closed_at_end.append(connection.socket.fileno() == -1)
 
@@ -155,15 +172,16 @@
 
 @runs_in_loop
 async def test_reset_attempt_is_retried_at_another_backend() -> None:
-    reset: list[bytes] = []
+    is_first = True
 
-    async def reset_first(command: list[bytes]) -> ScriptedReply:
-        if not reset:
-            reset.append(command[2])
+    async def close_first(_command: list[bytes]) -> ScriptedReply:
+        nonlocal is_first
+        if is_first:
+            is_first = False
             return b""
         return VALUE_REPLY
 
-    async with running_gateway(GatewayHarness(FakeBackend(reset_first), FakeBackend(reset_first))) as harness:
+    async with running_gateway(GatewayHarness(FakeBackend(close_first), FakeBackend(close_first))) as harness:
         client = await harness.client()
 
         assert await harness.request(client) == b"value"
@@ -185,7 +203,7 @@
 
 
 @runs_in_loop
-async def test_connection_used_last_is_reused_first() -> None:
+async def test_most_recently_used_connection_is_reused_first() -> None:
     backend = FakeBackend()
     async with open_pool(backend) as pool:
         await asyncio.gather(RecordedAttempt(pool).result(), RecordedAttempt(pool).result())
@@ -200,12 +218,9 @@
 
 @runs_in_loop
 async def test_connection_that_the_backend_has_closed_is_not_written_to() -> None:
-    """The end of a pooled connection may lie unread; a request written to it would end as a reset."""
-    backend = FakeBackend()
-    async with open_pool(backend) as pool:
-        assert await RecordedAttempt(pool).outcome() is Outcome.OK
-        (connection,) = pool.endpoints[0].idle_connections
-        pool.resources.loop.remove_reader(connection.fd)  # as if the event loop had not yet come to it
+    """The close may be unread; a request written to the connection would end as a reset."""
+    async with open_idle_connection() as (backend, pool, connection):
+        stop_polling(connection)
         backend.close_connections()
         await wait_until(lambda: not connection.is_alive())
 
@@ -215,19 +230,16 @@
 
 
 @runs_in_loop
-async def test_idle_connection_is_closed_before_the_backend_closes_it() -> None:
-    backend = FakeBackend()
-    with pytest.MonkeyPatch.context() as monkeypatch:
-        monkeypatch.setattr(backend_pool, "SWEEP_INTERVAL_MS", 5.0)
-        async with open_pool(backend) as pool:
-            assert await RecordedAttempt(pool).outcome() is Outcome.OK
-            (connection,) = pool.endpoints[0].idle_connections
-
-            connection.idle_since -= pool.max_idle_ms - 20
+async def test_idle_connection_is_closed_before_the_backend_closes_it(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    monkeypatch.setattr(backend_pool, "SWEEP_INTERVAL_MS", 5.0)
+    async with open_idle_connection() as (backend, pool, connection):
+        connection.idle_since -= pool.max_idle_ms - 20
 
-            await wait_until(lambda: backend.ended)
-            assert not pool.connections
-            assert pool.max_idle_ms < POOL_SETTINGS["keepalive_ms"] * 0.8
+        await wait_until(lambda: backend.ended)
+        assert not pool.connections
+        assert pool.max_idle_ms < POOL_SETTINGS["keepalive_ms"] * 0.8
 
 
 # ---- bounds and the endpoint list ----
@@ -235,22 +247,24 @@
 
 @runs_in_loop
 async def test_connection_bound_closes_idle_connections_and_then_rejects() -> None:
-    idle, silent = FakeBackend(), scripted(None)
-    async with open_pool(idle, silent, max_connections=1) as pool:
+    idle = FakeBackend()
+    unresponsive = scripted(None)
+    async with open_pool(idle, unresponsive, max_connections=1) as pool:
         assert await RecordedAttempt(pool).outcome() is Outcome.OK
 
         in_flight = RecordedAttempt(pool, backend_id=1)
 
-        await wait_until(lambda: silent.received)
+        await wait_until(lambda: unresponsive.received)
         await wait_until(lambda: idle.ended)
         assert await RecordedAttempt(pool).outcome() is Outcome.CONNECT_ERROR
-        assert not in_flight.endings
+        assert not in_flight.ends
         assert len(pool.connections) == 1
 
 
 @runs_in_loop
-async def test_connections_follow_a_changed_address() -> None:
-    old, new = FakeBackend(), FakeBackend()
+async def test_attempts_are_sent_to_a_changed_address() -> None:
+    old = FakeBackend()
+    new = FakeBackend()
     async with open_pool(old) as pool:
         await new.start()
         assert await RecordedAttempt(pool).outcome() is Outcome.OK
@@ -272,23 +286,23 @@
     async with open_pool(backend) as pool:
         for backend_id in range(2_000):
             pool.update(backend_id, backend.address, EndpointState.READY)
-        assert not pool.endpoints, "a listed backend costs no more than an address"
+        assert not pool.endpoints, "of a listed backend only the address is kept"
         assert await RecordedAttempt(pool, 7).outcome() is Outcome.OK
         yield pool
 
 
 @runs_in_loop
-async def test_only_backends_with_connections_have_an_endpoint() -> None:
+async def test_backends_without_connections_have_no_endpoint() -> None:
     async with pool_with_long_list() as pool:
         assert set(pool.endpoints) == {7}
 
         pool.sweep()
 
-        assert set(pool.endpoints) == {7}, "its connection may be used again"
+        assert set(pool.endpoints) == {7}, "its connection may be reused"
 
 
 @runs_in_loop
-async def test_endpoint_without_connections_is_forgotten_and_its_address_kept() -> None:
+async def test_sweep_removes_an_endpoint_without_connections_but_not_its_address() -> None:
     async with pool_with_long_list() as pool:
         pool.endpoints[7].close_idle()
 
@@ -299,10 +313,10 @@
 
 
 @runs_in_loop
-async def test_backend_left_out_of_a_whole_list_drains() -> None:
+async def test_backend_omitted_from_a_complete_list_drains() -> None:
     async with pool_with_long_list() as pool:
         pool.replace_endpoints({backend_id: pool.addresses[backend_id] for backend_id in range(7)})
 
         assert await RecordedAttempt(pool, 9).outcome() is Outcome.CONNECT_ERROR
         assert not pool.endpoints[7].idle_connections
-        assert pool.endpoints[7].is_draining, "it takes new work no longer than its grace"
+        assert pool.endpoints[7].is_draining, "it takes new work until the end of its grace only"
--- a/tests/network/backends/test_backend_replies.py
+++ b/tests/network/backends/test_backend_replies.py
@@ -1,4 +1,4 @@
-"""Replies of backends, well formed and otherwise, and what becomes of attempt and connection."""
+"""Replies of backends, well-formed or not, and their effect on attempt and connection."""
 
 from __future__ import annotations
 
@@ -11,12 +11,15 @@
 from tests.support.backend_harness import (
     VALUE_REPLY,
     RecordedAttempt,
+    open_idle_connection,
     open_pool,
     scripted,
+    stop_polling,
     wait_for_reuse_delay,
 )
 from tests.support.event_loop import runs_in_loop, wait_until
 from tests.support.fake_services import FakeBackend, ScriptedReply
+from tests.support.replies import served_reply
 
 VALUE_WITHOUT_METADATA = b"*3\r\n$5\r\nvalue\r\n"
 MALFORMED_REPLIES = [
@@ -29,7 +32,7 @@
     b"*3\r\n+value\r\n$-1\r\n$-1\r\n",
     b"*3\r\n$4\r\nvalue\r\n$-1\r\n$-1\r\n",
     b"*3\r\n$7\r\nvalue\r\n$-1\r\n$-1\r\n",
-    b"*3\r\n$3000000000\r\n",  # and it would keep coming
+    b"*3\r\n$3000000000\r\n",
     b"*3\r\n$1048577\r\n",
     b"*3\r\n$-5\r\n",
     b"*4294967295\r\n",
@@ -73,7 +76,7 @@
 @pytest.mark.parametrize("reply", [*MALFORMED_REPLIES, b"-OTHER\r\n", *VALUES_WITH_MALFORMED_METADATA])
 @runs_in_loop
 async def test_connection_with_a_malformed_or_unknown_reply_is_not_reused(reply: bytes) -> None:
-    """The rest of it would be taken for the reply to the next request, or keep that one waiting."""
+    """What follows of it would be taken for the reply to the next request, or delay that one."""
     backend = scripted(reply)
     async with open_pool(backend) as pool:
         await RecordedAttempt(pool).result()
@@ -107,14 +110,11 @@
 
 @runs_in_loop
 async def test_bytes_after_a_reply_are_not_taken_for_the_next_reply() -> None:
-    """A second reply or noise may come after the read that brought the first one."""
-    backend = FakeBackend()
-    async with open_pool(backend) as pool:
-        assert await RecordedAttempt(pool).outcome() is Outcome.OK
-        (connection,) = pool.endpoints[0].idle_connections
+    """A second reply or noise may arrive after the first reply was read."""
+    async with open_idle_connection() as (backend, pool, connection):
+        stop_polling(connection)
         (writer,) = backend.open
-        pool.resources.loop.remove_reader(connection.fd)  # as if the event loop had not yet come to it
-        writer.write(VALUE_REPLY.replace(b"value", b"other"))
+        writer.write(served_reply(b"other"))
         await wait_until(lambda: not connection.is_alive())
         await wait_for_reuse_delay(pool)
 
@@ -123,41 +123,40 @@
 
 
 @runs_in_loop
-async def test_connection_is_not_reused_before_it_has_rested() -> None:
-    """Otherwise a second reply that is still on its way would be taken for the next one."""
-    backend = FakeBackend()
-    async with open_pool(backend) as pool:
-        assert await RecordedAttempt(pool).outcome() is Outcome.OK
-        pool.endpoints[0].idle_connections[-1].idle_since = now_ms() + 60_000
+async def test_connection_is_not_reused_before_its_reuse_delay() -> None:
+    """A second reply that is still in transit would be taken for the reply to the next request."""
+    async with open_idle_connection() as (backend, pool, connection):
+        connection.idle_since = now_ms() + 60_000
 
         assert await RecordedAttempt(pool).result() == (Outcome.OK, b"value")
         assert backend.accepted == 2
 
 
 @runs_in_loop
-async def test_large_values_pass_within_the_memory_of_all_incomplete_replies() -> None:
-    """Values of several hundred kilobytes do come; many halves of them at once must not fill the memory."""
+async def test_large_values_are_received_within_the_memory_for_incomplete_replies() -> None:
+    """Many large values that are incomplete at once must not exhaust the memory."""
     value = b"x" * 400_000
     may_finish = asyncio.Event()
-    seen: set[asyncio.StreamWriter] = set()
+    used: set[asyncio.StreamWriter] = set()
 
     async def script(_command: list[bytes]) -> ScriptedReply:
-        (writer,) = backend.open - seen
-        seen.add(writer)
+        (writer,) = backend.open - used
+        used.add(writer)
         writer.write(b"*3\r\n$400000\r\n" + value[1:])
         await may_finish.wait()
         return b"x\r\n$-1\r\n$-1\r\n"
 
     backend = FakeBackend(script)
     async with open_pool(backend, max_buffered_bytes=700_000) as pool:
+        memory = pool.resources.reply_memory
         first = RecordedAttempt(pool)
-        await wait_until(lambda: pool.resources.buffered_bytes > 390_000)
+        await wait_until(lambda: memory.reserved_bytes > 390_000)
         second = RecordedAttempt(pool)
 
         assert await second.outcome() is Outcome.CONNECTION_RESET
         may_finish.set()
         assert await first.result() == (Outcome.OK, value)
-        assert pool.resources.buffered_bytes == 0
+        assert memory.reserved_bytes == 0
 
 
 @runs_in_loop
@@ -174,5 +173,5 @@
     (line,) = caplog.messages
     assert line == (
         "reading replies of backends failed 3 times, the connections were closed: "
-        f"127.0.0.1:{backend.port} not a reply (3)"
+        f"127.0.0.1:{backend.port} expected an array with a value or an error line, got b'+OK\\r\\n' (3)"
     )
--- a/tests/network/backends/test_idle_loss.py
+++ b/tests/network/backends/test_idle_loss.py
@@ -1,4 +1,4 @@
-"""How long idle connections are used, as learned from requests that were lost on them."""
+"""How long idle connections are reused, as learned from requests that were lost on them."""
 
 from __future__ import annotations
 
@@ -7,28 +7,27 @@
 
 from gateway.network.backends.idle_loss import IdleLossEstimator
 from gateway.policy.events import Outcome
-from tests.support.backend_harness import VALUE_REPLY, RecordedAttempt, open_pool
+from tests.support.backend_harness import VALUE_REPLY, RecordedAttempt, idle_connections, open_pool
 from tests.support.event_loop import runs_in_loop
 from tests.support.fake_services import FakeBackend, ScriptedReply
 
 
 @runs_in_loop
-async def test_connections_are_reused_no_longer_than_they_turn_out_to_hold() -> None:
-    """Backends may drop idle connections unannounced long before the time in the settings."""
-    seen: set[asyncio.StreamWriter] = set()
+async def test_connections_are_not_reused_beyond_the_idle_time_at_which_requests_are_lost() -> None:
+    """Backends may drop idle connections without notice long before the keep-alive time."""
+    used: set[asyncio.StreamWriter] = set()
 
     async def reply_once_per_connection(_command: list[bytes]) -> ScriptedReply:
-        used = backend.open & seen
-        seen.update(backend.open)
-        return b"" if used else VALUE_REPLY
+        is_reused = bool(backend.open & used)
+        used.update(backend.open)
+        return b"" if is_reused else VALUE_REPLY
 
     backend = FakeBackend(reply_once_per_connection)
     async with open_pool(backend) as pool:
         outcomes = []
         for _ in range(12):
-            for endpoint in pool.endpoints.values():
-                for connection in endpoint.idle_connections:
-                    connection.idle_since -= 300
+            for connection in idle_connections(pool):
+                connection.idle_since -= 300
             outcomes.append(await RecordedAttempt(pool).outcome())
 
         assert outcomes.count(Outcome.CONNECTION_RESET) <= 3
@@ -37,10 +36,10 @@
 
         for _ in range(60):
             pool.resources.idle_loss.decay()
-        assert pool.resources.idle_loss.limit_ms == math.inf  # it may hold longer by now
+        assert pool.resources.idle_loss.limit_ms == math.inf, "longer idle times are allowed again"
 
 
-def test_losses_that_new_connections_share_do_not_limit_the_idle_time() -> None:
+def test_losses_as_frequent_on_new_connections_do_not_limit_the_idle_time() -> None:
     estimator = IdleLossEstimator()
 
     for turn in range(100):
--- a/tests/support/backend_harness.py
+++ b/tests/support/backend_harness.py
@@ -5,18 +5,22 @@
 import asyncio
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
-from typing import Any
+from typing import Any, NamedTuple
 
 from gateway.network.backends.attempt import BackendAttempt
-from gateway.network.backends.pool import REUSE_DELAY_MS, BackendPool
+from gateway.network.backends.connection import BackendConnection
+from gateway.network.backends.endpoint import REUSE_DELAY_MS
+from gateway.network.backends.pool import BackendPool
 from gateway.network.timers import TimerQueue, now_ms
 from gateway.policy.events import EndpointState, Outcome
 from tests.support.event_loop import wait_until
 from tests.support.fake_services import FakeBackend, FakeServer, ScriptedReply, always
+from tests.support.manual_server import ManualServer
+from tests.support.replies import served_reply
 from tests.support.request_commands import request_command
 from tests.support.resp_peer import encode_command
 
-VALUE_REPLY = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
+VALUE_REPLY = served_reply(b"value")
 
 POOL_SETTINGS: dict[str, Any] = {
     "connect_timeout_ms": 250,
@@ -43,19 +47,81 @@
             await server.stop()
 
 
+class ManualBackend(NamedTuple):
+    """A pool that lists one backend, whose connections the test accepts and writes to itself."""
+
+    server: ManualServer
+    pool: BackendPool
+
+
+@asynccontextmanager
+async def open_manual_backend() -> AsyncIterator[ManualBackend]:
+    """Start a backend that is driven by the test, and a pool that lists it as backend 0."""
+    server = ManualServer()
+    async with open_pool() as pool:
+        pool.update(0, server.address, EndpointState.READY)
+        yield ManualBackend(server, pool)
+    server.close()
+
+
+def idle_connections(pool: BackendPool) -> list[BackendConnection]:
+    """Return the idle connections of all endpoints."""
+    connections: list[BackendConnection] = []
+    for endpoint in pool.endpoints.values():
+        for connection in endpoint.idle_connections:
+            assert isinstance(connection, BackendConnection)
+            connections.append(connection)
+    return connections
+
+
+def only_idle_connection(pool: BackendPool) -> BackendConnection:
+    """Return the one idle connection of a pool."""
+    (connection,) = idle_connections(pool)
+    return connection
+
+
+class IdleConnection(NamedTuple):
+    """A backend, the pool that lists it, and the pool's one connection to it, which is idle."""
+
+    backend: FakeBackend
+    pool: BackendPool
+    connection: BackendConnection
+
+
+@asynccontextmanager
+async def open_idle_connection() -> AsyncIterator[IdleConnection]:
+    """Start a backend and a pool, and let one request be served, whose connection is idle then."""
+    backend = FakeBackend()
+    async with open_pool(backend) as pool:
+        assert await RecordedAttempt(pool).outcome() is Outcome.OK
+        yield IdleConnection(backend, pool, only_idle_connection(pool))
+
+
+def stop_polling(connection: BackendConnection) -> None:
+    """Leave unread what the connection receives, as if the event loop had not polled it yet."""
+    connection.resources.loop.remove_reader(connection.fd)
+
+
 async def wait_for_reuse_delay(pool: BackendPool) -> None:
     """Wait until the idle connections may be used again."""
-    idle = [connection for endpoint in pool.endpoints.values() for connection in endpoint.idle_connections]
+    idle = idle_connections(pool)
     await wait_until(lambda: all(now_ms() - connection.idle_since > REUSE_DELAY_MS for connection in idle))
 
 
+class AttemptEnd(NamedTuple):
+    """How an attempt ended, and the value of the reply (empty without one)."""
+
+    outcome: Outcome
+    value: bytes
+
+
 class RecordedAttempt:
     """An attempt that is started at once, and all ends that were reported of it."""
 
     def __init__(
         self, pool: BackendPool, backend_id: int = 0, timeout_ms: float = 3000, body: bytes = b""
     ) -> None:
-        self.endings: list[tuple[Outcome, bytes]] = []
+        self.ends: list[AttemptEnd] = []
         self.body = body
         self._ended = asyncio.Event()
         self.attempt = BackendAttempt(
@@ -66,23 +132,30 @@
         )
         pool.start(self.attempt)
 
+    @property
+    def connection(self) -> BackendConnection:
+        """The connection that the attempt is on."""
+        connection = self.attempt.connection
+        assert isinstance(connection, BackendConnection)
+        return connection
+
     def _encode(self, timeout_ms: int) -> bytes:
         return encode_command(*request_command(remaining_ms=timeout_ms, body=self.body))
 
     def _on_end(self, _attempt: BackendAttempt, outcome: Outcome, value: bytes) -> None:
-        self.endings.append((outcome, value))
+        self.ends.append(AttemptEnd(outcome, value))
         self._ended.set()
 
-    async def result(self) -> tuple[Outcome, bytes]:
+    async def result(self) -> AttemptEnd:
         """Wait for the end; it must be the only one."""
         await self._ended.wait()
-        (ending,) = self.endings
-        return ending
+        (end,) = self.ends
+        return end
 
     async def outcome(self) -> Outcome:
         """Wait for the end and return its outcome."""
-        outcome, _ = await self.result()
-        return outcome
+        end = await self.result()
+        return end.outcome
 
 
 def scripted(reply: ScriptedReply) -> FakeBackend:
--- a/tests/support/manual_server.py
+++ b/tests/support/manual_server.py
@@ -8,6 +8,7 @@
 import struct
 from collections.abc import Iterator
 
+from gateway.network.address import Address
 from tests.support.resp_peer import LOCAL, RespPeer
 
 
@@ -17,7 +18,7 @@
     def __init__(self) -> None:
         self.listener = socket.create_server((LOCAL, 0))
         self.listener.setblocking(False)
-        self.address = self.listener.getsockname()
+        self.address = Address(*self.listener.getsockname())
 
     async def accept_after(self, commands: int) -> socket.socket:
         """Accept a connection, and return it once so many commands have been received in full."""
