--- a/tests/network/backends/test_backend_pool.py
+++ b/tests/network/backends/test_backend_pool.py
@@ -3,12 +3,14 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import AsyncIterator
+import errno
+import os
+import socket
+from collections.abc import AsyncIterator, Callable
 from contextlib import asynccontextmanager
 
 import pytest
 
-from gateway.network.address import Address
 from gateway.network.backends import pool as backend_pool
 from gateway.network.backends.pool import BackendPool
 from gateway.network.timers import now_ms
@@ -39,21 +41,41 @@
         assert await RecordedAttempt(pool).result() == (Outcome.CONNECT_ERROR, b"")
 
 
+class UnreachableSocket(socket.socket):
+    """A socket whose connect the system rejects at once."""
+
+    def connect_ex(self, _address: object) -> int:
+        return errno.ENETUNREACH
+
+
+def open_no_socket(*_: object) -> socket.socket:
+    raise OSError(errno.EMFILE, os.strerror(errno.EMFILE))
+
+
+@pytest.mark.parametrize(
+    ("open_socket", "reason"),
+    [(UnreachableSocket, "Network is unreachable"), (open_no_socket, "Too many open files")],
+)
 @runs_in_loop
 async def test_connect_that_cannot_begin_is_logged_with_peer_and_reason(
+    open_socket: Callable[..., socket.socket],
+    reason: str,
+    monkeypatch: pytest.MonkeyPatch,
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    async with open_pool() as pool:
-        pool.update(0, Address("255.255.255.255", 1), EndpointState.READY)  # TCP has no broadcast
-
-        assert await RecordedAttempt(pool).outcome() is Outcome.CONNECT_ERROR
+    backend = FakeBackend()
+    async with open_pool(backend) as pool:
+        with monkeypatch.context() as patches:
+            patches.setattr("gateway.network.backends.connecting.socket.socket", open_socket)
+            attempt = RecordedAttempt(pool)
         pool.sweep()
 
-    (line,) = caplog.messages
-    assert line.startswith(
-        "connecting to backends failed 1 times, the attempts never ran: 255.255.255.255:1 "
-    )
-    assert line.endswith(" (1)")
+        assert await attempt.result() == (Outcome.CONNECT_ERROR, b"")
+        assert not pool.connections
+        assert caplog.messages == [
+            "connecting to backends failed 1 times, the attempts never ran: "
+            f"127.0.0.1:{backend.port} {reason} (1)"
+        ]
 
 
 @runs_in_loop
