--- a/gateway/network/backends/attempt.py
+++ b/gateway/network/backends/attempt.py
@@ -43,6 +43,10 @@
     timeout_timer: Timer | None = None
     is_ended: bool = False
 
+    def set_timeout(self, timer: Timer) -> None:
+        """Add the timer that abandons the attempt; its end cancels it."""
+        self.timeout_timer = timer
+
     def end(self, outcome: Outcome, value: bytes = b"") -> None:
         """End the attempt; further calls change nothing."""
         if self.is_ended:
--- a/gateway/network/process/server.py
+++ b/gateway/network/process/server.py
@@ -176,7 +176,7 @@
             "gateway %s draining: %d requests open; serving for %.2f s more, "
             "requests still open after %.2f s will fail",
             self._config.name,
-            len(self._dispatcher.open_requests),
+            self._dispatcher.open_request_count,
             self._schedule.keep_serving_s,
             self._schedule.fail_requests_s,
         )
@@ -198,7 +198,7 @@
 
     async def _fail_open_requests(self, listener: ClientListener) -> int:
         """Reply to each open request with a failure, before SIGKILL would drop it; return their number."""
-        failed_requests = len(self._dispatcher.open_requests)
+        failed_requests = self._dispatcher.open_request_count
         log.warning(
             "gateway %s: %d requests still open at the end of the shutdown; each gets a failure reply",
             self._config.name,
--- a/tests/network/test_dispatcher.py
+++ b/tests/network/test_dispatcher.py
@@ -15,7 +15,8 @@
 from gateway.network.clients.listener import ClientLimits, ClientListener
 from gateway.network.clients.pending_reply import PendingReply
 from gateway.network.clients.request_parser import RequestParser
-from gateway.network.dispatcher import BUSY_REPLY, FAILED_REPLY, ID_IN_USE_REPLY, Dispatcher
+from gateway.network.dispatcher import Dispatcher
+from gateway.network.dispatcher.replies import BUSY_REPLY, FAILED_REPLY, ID_IN_USE_REPLY
 from gateway.network.timers import TimerQueue
 from gateway.policy.actions import IncrementCounter, Reject, StartAttempt
 from gateway.policy.events import (
@@ -51,8 +52,9 @@
             max_connections=10,
             max_buffered_bytes=1_000_000,
         )
+        policy_settings = settings(max_attempts=2, request_classes=(SAFE,))
         self.dispatcher = Dispatcher(
-            settings(max_attempts=2, request_classes=(SAFE,)),
+            policy_settings,
             seed=1,
             timers=timers,
             backends=self.backends,
@@ -61,7 +63,7 @@
         )
         self.policy = StubPolicy()
         self.dispatcher.policy = self.policy  # type: ignore[assignment]
-        self.parser = RequestParser(self.dispatcher.settings)
+        self.parser = RequestParser(policy_settings)
         listener = ClientListener(
             loop, timers, handler=self.dispatcher, parser=self.parser, limits=ClientLimits(10, 1_000_000)
         )
@@ -117,7 +119,7 @@
         await wait_until(lambda: pending_reply.is_completed)
 
         assert pending_reply.reply == FAILED_REPLY
-        assert not scene.dispatcher.open_requests
+        assert not scene.dispatcher.requests.open
         assert scene.policy.events_of(ClientDisconnected) == [ClientDisconnected("r1")]
 
     run_in_loop(scenario)
@@ -167,8 +169,8 @@
         ]
         assert endings == [("r1", 0, False), ("r2", 0, True), ("r1", 1, True)]
         assert len(scene.policy.events_of(ClientDisconnected)) == 2
-        assert not scene.dispatcher.open_requests
-        assert not scene.dispatcher.disconnected_requests
+        assert not scene.dispatcher.requests.open
+        assert not scene.dispatcher.requests.disconnected
 
     run_in_loop(scenario)
 
@@ -206,7 +208,7 @@
             writers[0].close()
             await wait_until(lambda: scene.policy.events_of(AttemptEnded))
 
-            assert not scene.dispatcher.attempts
+            assert not scene.dispatcher.attempts.in_flight
             assert scene.request().reply == BUSY_REPLY
             assert len(scene.policy.events_of(RequestArrived)) == 2
 
--- a/tests/network/test_dispatcher_endings.py
+++ b/tests/network/test_dispatcher_endings.py
@@ -81,14 +81,14 @@
                 dispatcher.backends.update(FIRST_BACKEND, listener.getsockname(), EndpointState.READY)
                 policy.actions_by_event[RequestArrived] = [StartAttempt("waits", FIRST_BACKEND)]
                 leaving = connect_at_once(port, encode_command(*request_command(b"waits")))
-                await wait_until(lambda: dispatcher.attempts)
+                await wait_until(lambda: dispatcher.attempts.in_flight)
 
                 leaving.close()
                 await wait_until(lambda: not clients.connections)
 
                 assert not dispatcher.backends.connections
-                assert not dispatcher.attempts
-                assert not dispatcher.open_requests
+                assert not dispatcher.attempts.in_flight
+                assert not dispatcher.requests.open
                 kinds = [type(event) for event in policy.events]
                 assert kinds == [RequestArrived, ClientDisconnected, AttemptEnded]
 
@@ -190,7 +190,7 @@
             self.clients.append(
                 connect_at_once(port, encode_command(*request_command(id, remaining_ms=REQUEST_WAIT_MS)))
             )
-            await wait_until(lambda: len(dispatcher.open_requests) == len(self.clients))
+            await wait_until(lambda: len(dispatcher.requests.open) == len(self.clients))
             if self.trigger is not Trigger.COUNTER_RESPONSE:
                 self.held.append(await self.backend.accept_after(1))
         if self.trigger is Trigger.COUNTER_RESPONSE:
@@ -269,9 +269,9 @@
 
             assert await exchange(other, b"after") == b"value"
             assert [command[2] for command in second.received] == [b"before", b"after"]
-            assert not dispatcher.open_requests
-            assert not dispatcher.attempts
-            assert not dispatcher.disconnected_requests
+            assert not dispatcher.requests.open
+            assert not dispatcher.attempts.in_flight
+            assert not dispatcher.requests.disconnected
         crossing.close()
         await second.stop()
 
@@ -297,7 +297,7 @@
                 dispatcher.backends.update(FIRST_BACKEND, listener.getsockname(), EndpointState.READY)
                 policy.actions_by_event[RequestArrived] = [StartAttempt("waits", FIRST_BACKEND)]
                 leaving = connect_at_once(port, encode_command(*request_command(b"waits")))
-                await wait_until(lambda: dispatcher.attempts)
+                await wait_until(lambda: dispatcher.attempts.in_flight)
                 (connection,) = dispatcher.backends.connections
                 assert not connection.is_connected
 
@@ -310,7 +310,7 @@
                     await wait_until(lambda: not clients.connections)
 
                     assert not dispatcher.backends.connections
-                    assert not dispatcher.attempts
+                    assert not dispatcher.attempts.in_flight
                     accepted.settimeout(10.0)
                     assert accepted.recv(1) == b""
 
--- a/tests/scale/test_scale.py
+++ b/tests/scale/test_scale.py
@@ -144,7 +144,7 @@
     checkout = tmp_path / "other"
     ignored = shutil.ignore_patterns("__pycache__")
     shutil.copytree(ROOT / "gateway", checkout / "gateway", ignore=ignored)
-    dispatcher = checkout / "gateway" / "network" / "dispatcher.py"
+    dispatcher = checkout / "gateway" / "network" / "dispatcher" / "dispatcher.py"
     dispatcher.write_text(dispatcher.read_text() + SLOWER_DISPATCHER)
     return checkout
 
