--- a/gateway/network/clients/connection.py
+++ b/gateway/network/clients/connection.py
@@ -24,10 +24,10 @@
 """Milliseconds after which an unused connection is closed."""
 
 FIRST_REQUEST_GRACE_MS = 100.0
-"""Milliseconds that a new connection has to send something, even if it is wanted for another client."""
+"""Milliseconds that a new connection has to send something, even if others wait to be accepted."""
 
 DISCONNECT_CHECK_INTERVAL_MS = 20.0
-"""Milliseconds after a check that found a client connected within which it is not checked again."""
+"""Milliseconds for which a client that was found connected is not checked again."""
 
 MAX_READS_PER_DISCONNECT_CHECK = 64
 """Reads of one check, so that a client that never stops sending does not delay all others."""
@@ -181,7 +181,7 @@
                     return
                 self._take_command(arguments)
         except ProtocolError as error:
-            self._reject_input(str(error))
+            self._reject_input(f"malformed command: {error}")
 
     def _take_command(self, arguments: list[bytes]) -> None:
         pending_reply = PendingReply(self, sum(map(len, arguments)))
--- a/gateway/network/codecs/resp_commands.py
+++ b/gateway/network/codecs/resp_commands.py
@@ -1,8 +1,7 @@
 """Incremental parser of the commands that clients send: RESP2 arrays of bulk strings.
 
-Clients are not trusted. A length out of range is rejected at its header, and what is buffered of an
-unfinished command is bounded. A general RESP reader accepts far more: maps, sets, nested and endless arrays,
-values of gigabytes.
+Clients are not trusted: a length out of range is rejected at its header, and what is buffered of an
+incomplete command is bounded.
 """
 
 from __future__ import annotations
@@ -12,17 +11,17 @@
 from .resp import ProtocolError
 
 MAX_ARGUMENTS = 16
-"""Arguments of one command: a request has five at most, set-up commands of client libraries a few more."""
+"""Most arguments of one command: a request has up to five, set-up commands of client libraries a few more."""
 
 MAX_ARGUMENT_BYTES = 64 * 1024
-"""One argument: the largest value that the protocol allows."""
+"""Longest argument: the largest value that the protocol allows."""
 
 MAX_COMMAND_BYTES = MAX_ARGUMENT_BYTES + 4 * 1024
-"""All arguments of one command: one of the largest, and room for the rest."""
+"""Longest command, over all its arguments: a largest value and what goes with it."""
 
 COMPACTION_THRESHOLD_BYTES = 32 * 1024
-"""Parsed bytes that stay at the front of the buffer until they are deleted together, as each deletion moves
-what follows."""
+"""Parsed bytes that are kept at the front of the buffer before they are deleted together; each deletion moves
+what follows them."""
 
 ARRAY_HEADER = re.compile(rb"\*(\d{1,6})\r\n")
 BULK_STRING_HEADER = re.compile(rb"\$(\d{1,6})\r\n")
@@ -30,16 +29,17 @@
     ARRAY_HEADER: re.compile(rb"\*(?:\d{0,6}|\d{1,6}\r)"),
     BULK_STRING_HEADER: re.compile(rb"\$(?:\d{0,6}|\d{1,6}\r)"),
 }
-"""For each header, what may still become one."""
+"""For each header, the form of its beginnings: input that may still become one."""
 
 MAX_HEADER_BYTES = 10
-"""More than any header has, so that a line that never ends is known by its first bytes."""
+"""Longer than any header: a line that never ends is rejected by its first bytes."""
 
 UNKNOWN_LENGTH = -1
+"""In place of the length of an argument whose header is not parsed yet."""
 
 
 class CommandParser:
-    """Cuts a client's bytes into commands."""
+    """Cuts the bytes of one client into commands."""
 
     __slots__ = (
         "_argument_length",
@@ -70,16 +70,16 @@
 
     @property
     def buffered_bytes(self) -> int:
-        """Bytes kept of commands that are not returned yet; 0 only between commands."""
+        """Bytes buffered of commands that are not returned yet; 0 only between commands."""
         has_begun = 1 if self._arguments_left else 0
         return len(self._buffer) - self._position + self._command_bytes + has_begun
 
     def next_command(self) -> list[bytes] | None:
-        """The arguments of the next complete command, None if there is none yet.
+        """Return the arguments of the next complete command, None if there is none yet.
 
         Raises:
-            ProtocolError: the client sent no array of bulk strings, or one that is too long. Nothing after it
-                can be understood either.
+            ProtocolError: the client sent something other than an array of bulk strings, or one that is too
+                long. The message has one of a few fixed texts, by which rejections are counted.
         """
         buffer = self._buffer
         while True:
@@ -91,7 +91,7 @@
             if len(buffer) < end + 2:
                 return None
             if buffer[end : end + 2] != b"\r\n":
-                raise ProtocolError("end of an argument")
+                raise ProtocolError("expected a line end after an argument")
             self._arguments.append(bytes(buffer[self._position : end]))
             self._position = end + 2
             self._argument_length = UNKNOWN_LENGTH
@@ -108,7 +108,7 @@
         self._position = header.end()
         count = int(header[1])
         if not 0 < count <= MAX_ARGUMENTS:
-            raise ProtocolError("number of arguments")
+            raise ProtocolError("number of arguments out of range")
         self._arguments_left = count
         return True
 
@@ -122,20 +122,20 @@
         length = int(header[1])
         self._command_bytes += length
         if length > MAX_ARGUMENT_BYTES or self._command_bytes > MAX_COMMAND_BYTES:
-            raise ProtocolError("length of an argument")
+            raise ProtocolError("length of an argument out of range")
         self._argument_length = length
         return True
 
     def _check_partial_header(self, header: re.Pattern[bytes]) -> None:
-        # A line that never ends, or that begins as no header does, is known by its first bytes.
+        """Reject input that cannot become this header, without waiting for the end of its line."""
         rest = self._buffer[self._position : self._position + MAX_HEADER_BYTES]
         if rest and not PARTIAL_HEADERS[header].fullmatch(rest):
-            raise ProtocolError("not an array of bulk strings")
+            raise ProtocolError("expected an array of bulk strings")
 
     def _finish_command(self) -> list[bytes]:
         arguments = self._arguments
         self._arguments = []
         self._command_bytes = 0
-        if self._position > COMPACTION_THRESHOLD_BYTES:  # nothing may follow for long
+        if self._position > COMPACTION_THRESHOLD_BYTES:  # no further input may follow for a long time
             self._compact()
         return arguments
--- a/gateway/network/dispatcher/replies.py
+++ b/gateway/network/dispatcher/replies.py
@@ -19,5 +19,5 @@
 
 def encode_rejection(retry_after_ms: float) -> bytes:
     """Return the reply to a request that was rejected; without a Retry-After if that is 0."""
-    whole_ms = math.ceil(retry_after_ms)
-    return BUSY_RETRY_AFTER_REPLY % whole_ms if whole_ms > 0 else BUSY_REPLY
+    rounded_up_ms = math.ceil(retry_after_ms)
+    return BUSY_RETRY_AFTER_REPLY % rounded_up_ms if rounded_up_ms > 0 else BUSY_REPLY
--- a/gateway/network/timers.py
+++ b/gateway/network/timers.py
@@ -1,8 +1,8 @@
-"""The one clock of a gateway and the one queue of its timers.
+"""The clock of a gateway and the queue of its timers.
 
-Times are Unix milliseconds: the start times of backends and the counter's periods are compared with them,
-so all gateways must mean the same moment. The wall clock is read once and carried on by the monotonic one:
-a stepped wall clock must not stop timers or age every lease at once.
+Times are Unix milliseconds, as the start times of backends and the counter's periods have to mean the same
+moment at all gateways. The wall clock is read once, at the start of the process, and advanced by the
+monotonic clock: stepping the wall clock neither stops timers nor expires leases.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 
 
 def now_ms() -> float:
-    """The time in Unix milliseconds; it never goes back."""
+    """Return the time in Unix milliseconds; it never decreases."""
     return time.monotonic() * 1000 + _OFFSET_MS
 
 
 class Timer:
-    """One call that is due at some time; given by `TimerQueue.call_at`."""
+    """A call that is due at some time, made by `TimerQueue.call_at`."""
 
     __slots__ = ("callback",)
 
@@ -32,12 +32,12 @@
         self.callback: Callable[[], None] | None = callback
 
     def cancel(self) -> None:
-        """Never call back, if that has not happened yet."""
+        """Prevent the call, unless it has been made."""
         self.callback = None
 
 
 class TimerQueue:
-    """Calls back at a time of `now_ms`, never before it; one event-loop timer stands for all of them."""
+    """Calls back at times of `now_ms`, never before them; all timers share one timer of the event loop."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
@@ -64,7 +64,7 @@
 
     def _run(self) -> None:
         self._handle = None
-        self._handle_due_ms = -math.inf  # callbacks that add timers need not arm: that is done at the end
+        self._handle_due_ms = -math.inf  # callbacks that add timers do not arm it: that is done below
         try:
             self._call_due()
         finally:
@@ -73,10 +73,10 @@
                 self._arm(self._heap[0][0])
 
     def _call_due(self) -> None:
-        """Call back all that is due, and drop cancelled timers at the head of the queue.
+        """Call back all timers that are due, and drop cancelled ones at the head of the queue.
 
-        Danger: the event loop rounds to whole milliseconds and may call early. The policy ignores a timer
-        that comes before its time, and its request would then never be ended: so each due time is checked.
+        No timer may fire before its due time: the policy would ignore it, and its request would never end.
+        The event loop rounds to whole milliseconds and may call early, so that each due time is checked.
         """
         heap = self._heap
         now = now_ms()
