--- a/tests/network/clients/test_client_listener.py
+++ b/tests/network/clients/test_client_listener.py
@@ -11,55 +11,51 @@
 from gateway.network.clients import listener as client_listener
 from gateway.network.clients.listener import ClientListener
 from gateway.network.process.descriptor_budget import RESERVED_DESCRIPTORS
-from tests.support.event_loop import run_in_loop, wait_until
+from tests.support.event_loop import runs_in_loop, wait_until
 from tests.support.fake_services import FakeBackend
 from tests.support.gateway_harness import GatewayHarness, running_gateway
 from tests.support.resp_peer import RespPeer
 
 
-def test_clients_that_leave_many_replies_unread_together_are_closed(
+@runs_in_loop
+async def test_clients_that_leave_many_replies_unread_together_are_closed(
     client_listeners: list[ClientListener],
 ) -> None:
-    async def scenario() -> None:
-        async with running_gateway(GatewayHarness(FakeBackend(), memory_mb=5)) as harness:
-            (listener,) = client_listeners
-            peers = [await harness.client() for _ in range(40)]
+    async with running_gateway(GatewayHarness(FakeBackend(), memory_mb=5)) as harness:
+        (listener,) = client_listeners
+        peers = [await harness.client() for _ in range(40)]
+        for peer in peers:
+            peer.writer.transport.pause_reading()  # type: ignore[attr-defined]
+        await wait_until(lambda: len(listener.connections) == 40)
+
+        while len(listener.connections) > 30:
             for peer in peers:
-                peer.writer.transport.pause_reading()  # type: ignore[attr-defined]
-            await wait_until(lambda: len(listener.connections) == 40)
+                peer.send(b"PING", b"x" * 65536)
+            await asyncio.sleep(0)
+            assert listener.memory.unsent_bytes <= listener.memory.max_unsent_bytes + 70_000
 
-            while len(listener.connections) > 30:
-                for peer in peers:
-                    peer.send(b"PING", b"x" * 65536)
-                await asyncio.sleep(0)
-                assert listener.memory.unsent_bytes <= listener.memory.max_unsent_bytes + 70_000
+        late = await harness.client()
+        assert await harness.request(late) == b"value"
+        for peer in peers:
+            peer.writer.transport.abort()
+    await wait_until(lambda: not listener.connections)
+    assert listener.memory.unsent_bytes == 0
 
-            late = await harness.client()
-            assert await harness.request(late) == b"value"
-            for peer in peers:
-                peer.writer.transport.abort()
-        await wait_until(lambda: not listener.connections)
-        assert listener.memory.unsent_bytes == 0
-
-    run_in_loop(scenario)
-
-
-def test_hundreds_of_clients_without_a_request_do_not_keep_others_out() -> None:
-    async def scenario() -> None:
-        async with running_gateway(GatewayHarness(FakeBackend(), sockets=60)) as harness:
-            active = await harness.client()
-            assert await harness.request(active) == b"value"
 
-            silent = [await harness.client() for _ in range(100)]
-            late = await harness.client()
+@runs_in_loop
+async def test_hundreds_of_clients_without_a_request_do_not_keep_others_out() -> None:
+    async with running_gateway(GatewayHarness(FakeBackend(), sockets=60)) as harness:
+        active = await harness.client()
+        assert await harness.request(active) == b"value"
 
-            assert await harness.request(late, id=b"late") == b"value"
-            # One that sent a request is not evicted for them.
-            assert await harness.request(active, id=b"again") == b"value"
-            for peer in silent[:50]:
-                assert await peer.receive() is None
+        silent = [await harness.client() for _ in range(100)]
+        late = await harness.client()
 
-    run_in_loop(scenario)
+        assert await harness.request(late, id=b"late") == b"value"
+        # One that sent a request is not evicted for them.
+        assert await harness.request(active, id=b"again") == b"value"
+        for peer in silent[:50]:
+            assert await peer.receive() is None
 
 
 class ExhaustedSocket:
@@ -79,59 +75,51 @@
         return getattr(self.listening_socket, name)
 
 
-def test_running_out_of_descriptors_is_survived(client_listeners: list[ClientListener]) -> None:
-    async def scenario() -> None:
-        async with running_gateway(GatewayHarness(FakeBackend())) as harness:
-            (listener,) = client_listeners
-            assert listener.listening_socket is not None
-            exhausted = ExhaustedSocket(listener.listening_socket, failures=3)
-            listener.listening_socket = exhausted  # type: ignore[assignment]
+@runs_in_loop
+async def test_running_out_of_descriptors_is_survived(client_listeners: list[ClientListener]) -> None:
+    async with running_gateway(GatewayHarness(FakeBackend())) as harness:
+        (listener,) = client_listeners
+        assert listener.listening_socket is not None
+        exhausted = ExhaustedSocket(listener.listening_socket, failures=3)
+        listener.listening_socket = exhausted  # type: ignore[assignment]
 
-            reply = await harness.request(await harness.client())
+        reply = await harness.request(await harness.client())
 
-            assert reply == b"value"
-            assert exhausted.failures_left < 0
+        assert reply == b"value"
+        assert exhausted.failures_left < 0
 
-    run_in_loop(scenario)
 
-
-def test_at_the_bound_an_unused_connection_is_evicted(monkeypatch: pytest.MonkeyPatch) -> None:
+@runs_in_loop
+async def test_at_the_bound_an_unused_connection_is_evicted(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(client_listener, "EVICTABLE_AFTER_MS", 0.0)
 
-    async def scenario() -> None:
-        async with running_gateway(
-            GatewayHarness(FakeBackend(), sockets=RESERVED_DESCRIPTORS + 5)
-        ) as harness:
-            peers: list[RespPeer] = [await harness.client() for _ in range(3)]
-            for number, peer in enumerate(peers):
-                assert await harness.request(peer, id=b"%d" % number) == b"value"
-
-            fourth = await harness.client()
+    async with running_gateway(GatewayHarness(FakeBackend(), sockets=RESERVED_DESCRIPTORS + 5)) as harness:
+        peers: list[RespPeer] = [await harness.client() for _ in range(3)]
+        for number, peer in enumerate(peers):
+            assert await harness.request(peer, id=b"%d" % number) == b"value"
 
-            assert await harness.request(fourth) == b"value"
-            assert await peers[0].receive() is None
-            assert await harness.request(peers[1]) == b"value"
+        fourth = await harness.client()
 
-    run_in_loop(scenario)
+        assert await harness.request(fourth) == b"value"
+        assert await peers[0].receive() is None
+        assert await harness.request(peers[1]) == b"value"
 
 
-def test_rejections_are_logged_with_address_reason_and_consequence(
+@runs_in_loop
+async def test_rejections_are_logged_with_address_reason_and_consequence(
     client_listeners: list[ClientListener], caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(client_listener, "SWEEP_INTERVAL_MS", 10.0)
 
-    async def scenario() -> None:
-        async with running_gateway(GatewayHarness(FakeBackend())) as harness:
-            (listener,) = client_listeners
-            peer = await harness.client()
-
-            await harness.request(peer, plan=b"unknown")
-            await wait_until(lambda: not listener.rejections.counts)
+    async with running_gateway(GatewayHarness(FakeBackend())) as harness:
+        (listener,) = client_listeners
+        peer = await harness.client()
 
-            expected = (
-                f"clients of 127.0.0.1:{harness.port} rejected, each with an error reply or its connection "
-                "closed, by reason: {'unknown plan': 1}"
-            )
-            assert expected in caplog.messages
+        await harness.request(peer, plan=b"unknown")
+        await wait_until(lambda: not listener.rejections.counts)
 
-    run_in_loop(scenario)
+        expected = (
+            f"clients of 127.0.0.1:{harness.port} rejected, each with an error reply or its connection "
+            "closed, by reason: {'unknown plan': 1}"
+        )
+        assert expected in caplog.messages
--- a/tests/network/clients/test_request_parser.py
+++ b/tests/network/clients/test_request_parser.py
@@ -6,7 +6,7 @@
 
 from gateway.network.clients.request_parser import InvalidRequestError, RequestParser
 from gateway.policy.settings import Idempotency, Plan, RequestClass
-from tests.support.event_loop import run_in_loop
+from tests.support.event_loop import runs_in_loop
 from tests.support.fake_services import FakeBackend, ScriptedReply
 from tests.support.gateway_harness import GatewayHarness, running_gateway
 from tests.support.policy_settings import settings
@@ -62,48 +62,46 @@
 
 
 @pytest.mark.parametrize(("command", "reason"), INVALID_COMMANDS)
-def test_an_invalid_command_fails_alone_and_with_its_reason(command: tuple[bytes, ...], reason: str) -> None:
-    async def scenario() -> None:
-        async with running_gateway(GatewayHarness(FakeBackend())) as harness:
-            peer = await harness.client()
-
-            peer.send(*command)
-            peer.send(*request_command())
+@runs_in_loop
+async def test_an_invalid_command_fails_alone_and_with_its_reason(
+    command: tuple[bytes, ...], reason: str
+) -> None:
+    async with running_gateway(GatewayHarness(FakeBackend())) as harness:
+        peer = await harness.client()
 
-            reply = await peer.receive()
-            assert is_error(reply)
-            assert str(reply) == f"ERR {reason}"
-            assert await peer.receive() == b"value"
-            assert len(harness.backends[0].received) == 1
+        peer.send(*command)
+        peer.send(*request_command())
 
-    run_in_loop(scenario)
+        reply = await peer.receive()
+        assert is_error(reply)
+        assert str(reply) == f"ERR {reason}"
+        assert await peer.receive() == b"value"
+        assert len(harness.backends[0].received) == 1
 
 
-def test_values_and_bodies_pass_untouched_and_backends_learn_the_remaining_time() -> None:
+@runs_in_loop
+async def test_values_and_bodies_pass_untouched_and_backends_learn_the_remaining_time() -> None:
     # The largest, 64 KiB. Line ends inside values would show a reply or a command that is encoded carelessly.
     blob = bytes(range(256)) * 256
 
     async def reply_with_blob(_command: list[bytes]) -> ScriptedReply:
         return served_reply(blob)
 
-    async def scenario() -> None:
-        async with running_gateway(GatewayHarness(FakeBackend(reply_with_blob))) as harness:
-            peer = await harness.client()
-
-            reply = await harness.request(peer, request_class=b"wipe", body=blob)
-
-            assert reply == blob
-            command, customer, request_id, attributes, body = harness.backends[0].received[0]
-            assert command == b"API.WRITE"
-            assert (customer, request_id) == request_command()[1:3]
-            assert body == blob
-            before, name, rest = attributes.partition(b"d=")
-            remaining_ms, _comma, after = rest.partition(b",")
-            assert before + name == b"c=wipe,t=free,d="
-            assert after == b"units=1,spread=1,first=0"
-            assert 2000 < int(remaining_ms) <= 3000
-
-    run_in_loop(scenario)
+    async with running_gateway(GatewayHarness(FakeBackend(reply_with_blob))) as harness:
+        peer = await harness.client()
+
+        reply = await harness.request(peer, request_class=b"wipe", body=blob)
+
+        assert reply == blob
+        command, customer, request_id, attributes, body = harness.backends[0].received[0]
+        assert command == b"API.WRITE"
+        assert (customer, request_id) == request_command()[1:3]
+        assert body == blob
+        before, name, rest = attributes.partition(b"d=")
+        remaining_ms, _comma, after = rest.partition(b",")
+        assert before + name == b"c=wipe,t=free,d="
+        assert after == b"units=1,spread=1,first=0"
+        assert 2000 < int(remaining_ms) <= 3000
 
 
 @pytest.fixture
--- a/tests/network/codecs/test_resp_commands.py
+++ b/tests/network/codecs/test_resp_commands.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.support.event_loop import run_in_loop
+from tests.support.event_loop import runs_in_loop
 from tests.support.fake_services import FakeBackend
 from tests.support.gateway_harness import GatewayHarness, running_gateway
 from tests.support.replies import is_error
@@ -14,35 +14,30 @@
 from tests.support.resp_peer import encode_command
 
 
-def test_a_command_may_come_byte_by_byte() -> None:
-    async def scenario() -> None:
-        async with running_gateway(GatewayHarness(FakeBackend())) as harness:
-            peer = await harness.client()
+@runs_in_loop
+async def test_a_command_may_come_byte_by_byte() -> None:
+    async with running_gateway(GatewayHarness(FakeBackend())) as harness:
+        peer = await harness.client()
 
-            for byte in encode_command(*request_command(b"one")):
-                peer.writer.write(bytes([byte]))
-                await peer.writer.drain()
-                await asyncio.sleep(0)
+        for byte in encode_command(*request_command(b"one")):
+            peer.writer.write(bytes([byte]))
+            await peer.writer.drain()
+            await asyncio.sleep(0)
 
-            assert await peer.receive() == b"value"
+        assert await peer.receive() == b"value"
 
-    run_in_loop(scenario)
 
+@runs_in_loop
+async def test_many_commands_may_come_together() -> None:
+    async with running_gateway(GatewayHarness(FakeBackend())) as harness:
+        peer = await harness.client()
+        numbers = [b"%d" % n for n in range(100)]
 
-def test_many_commands_may_come_together() -> None:
-    async def scenario() -> None:
-        async with running_gateway(GatewayHarness(FakeBackend())) as harness:
-            peer = await harness.client()
-            numbers = [b"%d" % n for n in range(100)]
+        peer.writer.write(
+            b"".join(encode_command(b"PING", n) for n in numbers) + encode_command(*request_command(b"two"))
+        )
 
-            peer.writer.write(
-                b"".join(encode_command(b"PING", n) for n in numbers)
-                + encode_command(*request_command(b"two"))
-            )
-
-            assert [await peer.receive() for _ in range(101)] == [*numbers, b"value"]
-
-    run_in_loop(scenario)
+        assert [await peer.receive() for _ in range(101)] == [*numbers, b"value"]
 
 
 @pytest.mark.parametrize(
@@ -64,49 +59,41 @@
         b"$" + b"1" * 50,
     ],
 )
-def test_what_can_become_no_command_is_rejected_at_once(data: bytes) -> None:
+@runs_in_loop
+async def test_what_can_become_no_command_is_rejected_at_once(data: bytes) -> None:
     """Not only at the end of a line that may never end, or once 60 MB have come."""
+    async with running_gateway(GatewayHarness(FakeBackend())) as harness:
+        peer = await harness.client()
 
-    async def scenario() -> None:
-        async with running_gateway(GatewayHarness(FakeBackend())) as harness:
-            peer = await harness.client()
-
-            peer.writer.write(data)
-
-            assert is_error(await peer.receive())
-            assert await peer.receive() is None
+        peer.writer.write(data)
 
-    run_in_loop(scenario)
+        assert is_error(await peer.receive())
+        assert await peer.receive() is None
 
 
 @pytest.mark.parametrize("data", [b"*5\r\n$999999\r\n" + b"x" * 200_000, b"*4294967294\r\n$1\r\na\r\n"])
-def test_a_command_beyond_all_bounds_ends_only_its_own_connection(data: bytes) -> None:
-    async def scenario() -> None:
-        async with running_gateway(GatewayHarness(FakeBackend())) as harness:
-            good = await harness.client()
-            bad = await harness.client()
+@runs_in_loop
+async def test_a_command_beyond_all_bounds_ends_only_its_own_connection(data: bytes) -> None:
+    async with running_gateway(GatewayHarness(FakeBackend())) as harness:
+        good = await harness.client()
+        bad = await harness.client()
 
-            bad.writer.write(data)
+        bad.writer.write(data)
 
-            assert is_error(await bad.receive())
-            assert await bad.receive() is None
-            assert await harness.request(good) == b"value"
+        assert is_error(await bad.receive())
+        assert await bad.receive() is None
+        assert await harness.request(good) == b"value"
 
-    run_in_loop(scenario)
 
-
-def test_many_small_commands_in_one_read_are_all_answered() -> None:
+@runs_in_loop
+async def test_many_small_commands_in_one_read_are_all_answered() -> None:
     """Taken by calls within calls, each round of waiting commands would deepen the stack."""
+    async with running_gateway(GatewayHarness(FakeBackend())) as harness:
+        peer = await harness.client()
+        count = 60_000
 
-    async def scenario() -> None:
-        async with running_gateway(GatewayHarness(FakeBackend())) as harness:
-            peer = await harness.client()
-            count = 60_000
-
-            peer.writer.write(encode_command(b"") * count)
+        peer.writer.write(encode_command(b"") * count)
 
-            for _ in range(count):
-                assert is_error(await peer.receive())
-            assert await harness.request(peer) == b"value"
-
-    run_in_loop(scenario)
+        for _ in range(count):
+            assert is_error(await peer.receive())
+        assert await harness.request(peer) == b"value"
--- a/tests/network/test_dispatcher.py
+++ b/tests/network/test_dispatcher.py
@@ -29,7 +29,7 @@
     TimerFired,
 )
 from gateway.policy.timers import TimerKind, TimerToken
-from tests.support.event_loop import run_in_loop, wait_until
+from tests.support.event_loop import runs_in_loop, wait_until
 from tests.support.policy_settings import BONUS, IDEMPOTENT, settings
 from tests.support.request_commands import request_command
 from tests.support.resp_peer import LOCAL
@@ -95,137 +95,120 @@
     server.close()
 
 
-def test_request_fails_if_the_policy_raises(caplog: pytest.LogCaptureFixture) -> None:
-    async def scenario() -> None:
-        scene = Scene()
+@runs_in_loop
+async def test_request_fails_if_the_policy_raises(caplog: pytest.LogCaptureFixture) -> None:
+    scene = Scene()
 
-        scene.policy.actions_by_event[RequestArrived] = ValueError("what")
-        assert scene.request().reply == FAILED_REPLY
+    scene.policy.actions_by_event[RequestArrived] = ValueError("what")
+    assert scene.request().reply == FAILED_REPLY
 
-        scene.policy.actions_by_event[RequestArrived] = [Reject("r2", 30.5)]
-        assert scene.request(b"r2").reply == b"-BUSY 31\r\n"
-
-    run_in_loop(scenario)
+    scene.policy.actions_by_event[RequestArrived] = [Reject("r2", 30.5)]
+    assert scene.request(b"r2").reply == b"-BUSY 31\r\n"
     assert "RequestArrived could not be handled" in caplog.text
 
 
-def test_request_that_the_policy_forgets_fails_at_its_deadline() -> None:
+@runs_in_loop
+async def test_request_that_the_policy_forgets_fails_at_its_deadline() -> None:
     """A fault at a timer or a counter's response would leave its client without a reply."""
+    scene = Scene()
+    pending_reply = scene.request(remaining_ms=20)
+    assert pending_reply.reply is None
 
-    async def scenario() -> None:
-        scene = Scene()
-        pending_reply = scene.request(remaining_ms=20)
-        assert pending_reply.reply is None
-
-        await wait_until(lambda: pending_reply.is_completed)
-
-        assert pending_reply.reply == FAILED_REPLY
-        assert not scene.dispatcher.requests.open
-        assert scene.policy.events_of(ClientDisconnected) == [ClientDisconnected("r1")]
-
-    run_in_loop(scenario)
+    await wait_until(lambda: pending_reply.is_completed)
 
+    assert pending_reply.reply == FAILED_REPLY
+    assert not scene.dispatcher.requests.open
+    assert scene.policy.events_of(ClientDisconnected) == [ClientDisconnected("r1")]
 
-def test_attempts_are_limited_and_ignored_after_the_reply() -> None:
-    async def scenario() -> None:
-        scene = Scene()
-        start = StartAttempt("r1", BACKEND)
-        scene.policy.actions_by_event[RequestArrived] = [start, start, start, Reject("r1"), start]
 
-        scene.request()
+@runs_in_loop
+async def test_attempts_are_limited_and_ignored_after_the_reply() -> None:
+    scene = Scene()
+    start = StartAttempt("r1", BACKEND)
+    scene.policy.actions_by_event[RequestArrived] = [start, start, start, Reject("r1"), start]
 
-        endings = [
-            (event.attempt_number, event.outcome, event.request_finished) for event in scene.ended_attempts()
-        ]
-        assert endings == [
-            (0, Outcome.CONNECT_ERROR, False),  # a backend that was never listed
-            (1, Outcome.CONNECT_ERROR, False),
-            (2, Outcome.NOT_STARTED, False),
-            (0, Outcome.NOT_STARTED, True),
-        ]
+    scene.request()
 
-    run_in_loop(scenario)
+    endings = [
+        (event.attempt_number, event.outcome, event.request_finished) for event in scene.ended_attempts()
+    ]
+    assert endings == [
+        (0, Outcome.CONNECT_ERROR, False),  # a backend that was never listed
+        (1, Outcome.CONNECT_ERROR, False),
+        (2, Outcome.NOT_STARTED, False),
+        (0, Outcome.NOT_STARTED, True),
+    ]
 
 
-def test_attempt_not_started_for_a_disconnected_client_ends_by_its_own_number(
+@runs_in_loop
+async def test_attempt_not_started_for_a_disconnected_client_ends_by_its_own_number(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """By another one's the policy would hold it to be in flight for ever."""
     monkeypatch.setattr("gateway.network.clients.connection.DISCONNECT_CHECK_INTERVAL_MS", 0.0)
 
-    async def scenario() -> None:
-        scene = Scene()
-        scene.policy.actions_by_event[RequestArrived] = [StartAttempt("r1", BACKEND)]
-        scene.request()
-        scene.policy.actions_by_event[RequestArrived] = []
-        scene.request(b"r2")
-        scene.policy.actions_by_event[TimerFired] = [StartAttempt("r2", BACKEND), StartAttempt("r1", BACKEND)]
-
-        scene.client.close()
-        scene.dispatcher.deliver(TimerFired(TimerToken(TimerKind.REQUEST, "t")))
-
-        endings = [
-            (event.request_id, event.attempt_number, event.request_finished)
-            for event in scene.ended_attempts()
-        ]
-        assert endings == [("r1", 0, False), ("r2", 0, True), ("r1", 1, True)]
-        assert len(scene.policy.events_of(ClientDisconnected)) == 2
-        assert not scene.dispatcher.requests.open
-        assert not scene.dispatcher.requests.disconnected
-
-    run_in_loop(scenario)
-
-
-def test_attempt_timeout_leaves_the_request_open() -> None:
-    async def scenario() -> None:
-        scene = Scene()
-        async with silent_backend(scene):
-            scene.policy.actions_by_event[RequestArrived] = [StartAttempt("r1", BACKEND, timeout_ms=20.0)]
-            scene.policy.actions_by_event[AttemptEnded] = [Reject("r1")]
-
-            pending_reply = scene.request()
-            await wait_until(lambda: pending_reply.is_completed)
-
-            (ended,) = scene.ended_attempts()
-            assert ended.outcome is Outcome.TIMED_OUT
-            assert not ended.request_finished
-            assert ended.latency_ms >= 20
-            assert pending_reply.reply == BUSY_REPLY
+    scene = Scene()
+    scene.policy.actions_by_event[RequestArrived] = [StartAttempt("r1", BACKEND)]
+    scene.request()
+    scene.policy.actions_by_event[RequestArrived] = []
+    scene.request(b"r2")
+    scene.policy.actions_by_event[TimerFired] = [StartAttempt("r2", BACKEND), StartAttempt("r1", BACKEND)]
+
+    scene.client.close()
+    scene.dispatcher.deliver(TimerFired(TimerToken(TimerKind.REQUEST, "t")))
+
+    endings = [
+        (event.request_id, event.attempt_number, event.request_finished) for event in scene.ended_attempts()
+    ]
+    assert endings == [("r1", 0, False), ("r2", 0, True), ("r1", 1, True)]
+    assert len(scene.policy.events_of(ClientDisconnected)) == 2
+    assert not scene.dispatcher.requests.open
+    assert not scene.dispatcher.requests.disconnected
+
+
+@runs_in_loop
+async def test_attempt_timeout_leaves_the_request_open() -> None:
+    scene = Scene()
+    async with silent_backend(scene):
+        scene.policy.actions_by_event[RequestArrived] = [StartAttempt("r1", BACKEND, timeout_ms=20.0)]
+        scene.policy.actions_by_event[AttemptEnded] = [Reject("r1")]
+
+        pending_reply = scene.request()
+        await wait_until(lambda: pending_reply.is_completed)
 
-    run_in_loop(scenario)
+        (ended,) = scene.ended_attempts()
+        assert ended.outcome is Outcome.TIMED_OUT
+        assert not ended.request_finished
+        assert ended.latency_ms >= 20
+        assert pending_reply.reply == BUSY_REPLY
 
 
-def test_id_is_in_use_while_an_attempt_of_it_is_in_flight() -> None:
+@runs_in_loop
+async def test_id_is_in_use_while_an_attempt_of_it_is_in_flight() -> None:
     """The policy need not cancel an attempt when its request has ended; both are known by the id."""
+    scene = Scene()
+    async with silent_backend(scene) as writers:
+        scene.policy.actions_by_event[RequestArrived] = [StartAttempt("r1", BACKEND), Reject("r1")]
+        assert scene.request().reply == BUSY_REPLY
+        await wait_until(lambda: writers)
+        assert scene.request().reply == ID_IN_USE_REPLY
 
-    async def scenario() -> None:
-        scene = Scene()
-        async with silent_backend(scene) as writers:
-            scene.policy.actions_by_event[RequestArrived] = [StartAttempt("r1", BACKEND), Reject("r1")]
-            assert scene.request().reply == BUSY_REPLY
-            await wait_until(lambda: writers)
-            assert scene.request().reply == ID_IN_USE_REPLY
+        writers[0].close()
+        await wait_until(lambda: scene.policy.events_of(AttemptEnded))
 
-            writers[0].close()
-            await wait_until(lambda: scene.policy.events_of(AttemptEnded))
+        assert not scene.dispatcher.attempts.in_flight
+        assert scene.request().reply == BUSY_REPLY
+        assert len(scene.policy.events_of(RequestArrived)) == 2
 
-            assert not scene.dispatcher.attempts.in_flight
-            assert scene.request().reply == BUSY_REPLY
-            assert len(scene.policy.events_of(RequestArrived)) == 2
 
-    run_in_loop(scenario)
+@runs_in_loop
+async def test_request_beyond_the_limit_of_open_requests_is_rejected() -> None:
+    scene = Scene(max_open_requests=1)
 
+    assert scene.request().reply is None
+    assert scene.request(b"r2").reply == BUSY_REPLY
 
-def test_request_beyond_the_limit_of_open_requests_is_rejected() -> None:
-    async def scenario() -> None:
-        scene = Scene(max_open_requests=1)
-
-        assert scene.request().reply is None
-        assert scene.request(b"r2").reply == BUSY_REPLY
-
-        assert len(scene.policy.events) == 1
-
-    run_in_loop(scenario)
+    assert len(scene.policy.events) == 1
 
 
 @pytest.mark.parametrize(
@@ -240,13 +223,11 @@
     assert reply == on_the_wire
 
 
-def test_counter_calls_fail_as_never_made_without_a_counter() -> None:
-    async def scenario() -> None:
-        scene = Scene()
-        scene.policy.actions_by_event[RequestArrived] = [IncrementCounter("n", 1.0, 100.0)]
-
-        scene.request()
+@runs_in_loop
+async def test_counter_calls_fail_as_never_made_without_a_counter() -> None:
+    scene = Scene()
+    scene.policy.actions_by_event[RequestArrived] = [IncrementCounter("n", 1.0, 100.0)]
 
-        assert scene.policy.events_of(CounterResponse) == [CounterResponse("n", Outcome.CONNECT_ERROR, 0.0)]
+    scene.request()
 
-    run_in_loop(scenario)
+    assert scene.policy.events_of(CounterResponse) == [CounterResponse("n", Outcome.CONNECT_ERROR, 0.0)]
--- a/tests/network/test_dispatcher_endings.py
+++ b/tests/network/test_dispatcher_endings.py
@@ -30,7 +30,7 @@
 from gateway.policy.timers import TimerKind, TimerToken
 from tests.support.backend_harness import wait_for_reuse_delay
 from tests.support.clients import call_between_reads, connect, connect_at_once, running_dispatcher
-from tests.support.event_loop import run_in_loop, wait_until
+from tests.support.event_loop import runs_in_loop, wait_until
 from tests.support.fake_services import FakeBackend, FakeCounter, ScriptedReply
 from tests.support.gateway_harness import SETTINGS, GatewayHarness, running_gateway
 from tests.support.manual_server import ManualServer, full_accept_queue
@@ -44,84 +44,78 @@
 REQUEST_WAIT_MS = 8_000  # hundreds are opened one by one, on a busy machine for seconds, before the crossing
 
 
-def test_request_abandoned_during_a_counter_call_is_not_forwarded() -> None:
-    async def scenario() -> None:
-        answered = asyncio.Event()
+@runs_in_loop
+async def test_request_abandoned_during_a_counter_call_is_not_forwarded() -> None:
+    answered = asyncio.Event()
 
-        async def answer_late(_call: list[bytes]) -> ScriptedReply:
-            await answered.wait()
-            return b"ok 1\r\n"
+    async def answer_late(_call: list[bytes]) -> ScriptedReply:
+        await answered.wait()
+        return b"ok 1\r\n"
 
-        harness = GatewayHarness(FakeBackend(), counter=FakeCounter(answer_late))
-        info = {**SETTINGS["familyInfo"], "countWait": 5_000.0}
-        harness.settings = {**SETTINGS, "groupSize": 9, "familyInfo": info}
-        async with running_gateway(harness):
-            leaving = await harness.client()
-            other = await harness.client()
-            leaving.send(*request_command(b"waits", plan=b"basic", gateway_set_size=9))
-            await wait_until(lambda: harness.counter.received)
+    harness = GatewayHarness(FakeBackend(), counter=FakeCounter(answer_late))
+    info = {**SETTINGS["familyInfo"], "countWait": 5_000.0}
+    harness.settings = {**SETTINGS, "groupSize": 9, "familyInfo": info}
+    async with running_gateway(harness):
+        leaving = await harness.client()
+        other = await harness.client()
+        leaving.send(*request_command(b"waits", plan=b"basic", gateway_set_size=9))
+        await wait_until(lambda: harness.counter.received)
 
-            leaving.close()
-            other_customer = b"00000000b4d65522"  # that does not wait for the same response
-            assert await harness.request(other, id=b"1", customer=other_customer) == b"value"
-            answered.set()
-            for number in (b"2", b"3"):
-                assert await harness.request(other, id=number, customer=other_customer) == b"value"
-
-            assert [command[2] for command in harness.backends[0].received] == [b"1", b"2", b"3"]
-
-    run_in_loop(scenario)
+        leaving.close()
+        other_customer = b"00000000b4d65522"  # that does not wait for the same response
+        assert await harness.request(other, id=b"1", customer=other_customer) == b"value"
+        answered.set()
+        for number in (b"2", b"3"):
+            assert await harness.request(other, id=number, customer=other_customer) == b"value"
 
+        assert [command[2] for command in harness.backends[0].received] == [b"1", b"2", b"3"]
 
-def test_request_abandoned_during_a_connect_is_not_forwarded() -> None:
-    async def scenario() -> None:
-        with full_accept_queue() as (listener, _):
-            listener.setblocking(False)
-            async with running_dispatcher() as (dispatcher, policy, clients, port):
-                dispatcher.backends.update(FIRST_BACKEND, listener.getsockname(), EndpointState.READY)
-                policy.actions_by_event[RequestArrived] = [StartAttempt("waits", FIRST_BACKEND)]
-                leaving = connect_at_once(port, encode_command(*request_command(b"waits")))
-                await wait_until(lambda: dispatcher.attempts.in_flight)
-
-                leaving.close()
-                await wait_until(lambda: not clients.connections)
 
-                assert not dispatcher.backends.connections
-                assert not dispatcher.attempts.in_flight
-                assert not dispatcher.requests.open
-                kinds = [type(event) for event in policy.events]
-                assert kinds == [RequestArrived, ClientDisconnected, AttemptEnded]
+@runs_in_loop
+async def test_request_abandoned_during_a_connect_is_not_forwarded() -> None:
+    with full_accept_queue() as (listener, _):
+        listener.setblocking(False)
+        async with running_dispatcher() as (dispatcher, policy, clients, port):
+            dispatcher.backends.update(FIRST_BACKEND, listener.getsockname(), EndpointState.READY)
+            policy.actions_by_event[RequestArrived] = [StartAttempt("waits", FIRST_BACKEND)]
+            leaving = connect_at_once(port, encode_command(*request_command(b"waits")))
+            await wait_until(lambda: dispatcher.attempts.in_flight)
 
-    run_in_loop(scenario)
+            leaving.close()
+            await wait_until(lambda: not clients.connections)
 
+            assert not dispatcher.backends.connections
+            assert not dispatcher.attempts.in_flight
+            assert not dispatcher.requests.open
+            kinds = [type(event) for event in policy.events]
+            assert kinds == [RequestArrived, ClientDisconnected, AttemptEnded]
 
-def test_request_of_a_disconnected_client_is_not_retried() -> None:
-    async def scenario() -> None:
-        break_off = asyncio.Event()
 
-        async def script(command: list[bytes]) -> ScriptedReply:
-            if command[2] == b"waits":
-                await break_off.wait()
-                return b""
-            return b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
+@runs_in_loop
+async def test_request_of_a_disconnected_client_is_not_retried() -> None:
+    break_off = asyncio.Event()
 
-        first = FakeBackend(script)
-        second = FakeBackend(script)
-        async with running_gateway(GatewayHarness(first, second)) as harness:
-            leaving = await harness.client()
-            other = await harness.client()
-            leaving.send(*request_command(b"waits"))
-            await wait_until(lambda: first.received or second.received)
+    async def script(command: list[bytes]) -> ScriptedReply:
+        if command[2] == b"waits":
+            await break_off.wait()
+            return b""
+        return b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 
-            leaving.close()
-            assert await harness.request(other, id=b"1") == b"value"
-            break_off.set()
-            for number in (b"2", b"3"):
-                assert await harness.request(other, id=number) == b"value"
+    first = FakeBackend(script)
+    second = FakeBackend(script)
+    async with running_gateway(GatewayHarness(first, second)) as harness:
+        leaving = await harness.client()
+        other = await harness.client()
+        leaving.send(*request_command(b"waits"))
+        await wait_until(lambda: first.received or second.received)
 
-            assert [command[2] for command in first.received + second.received].count(b"waits") == 1
+        leaving.close()
+        assert await harness.request(other, id=b"1") == b"value"
+        break_off.set()
+        for number in (b"2", b"3"):
+            assert await harness.request(other, id=number) == b"value"
 
-    run_in_loop(scenario)
+        assert [command[2] for command in first.received + second.received].count(b"waits") == 1
 
 
 class Trigger(Enum):
@@ -241,7 +235,8 @@
 
 @pytest.mark.parametrize("count", [1, 300])
 @pytest.mark.parametrize("trigger", Trigger)
-def test_no_attempt_starts_for_a_client_whose_disconnect_is_unread(
+@runs_in_loop
+async def test_no_attempt_starts_for_a_client_whose_disconnect_is_unread(
     trigger: Trigger, count: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Stalled, the event loop finds both in one turn, and what triggers the attempt first.
@@ -250,32 +245,29 @@
     """
     monkeypatch.setattr("gateway.network.counter.connection.INACTIVITY_TIMEOUT_MS", math.inf)
 
-    async def scenario() -> None:
-        crossing = Crossing(trigger, count)
-        second = FakeBackend()
-        await second.start()
-        policy = HoldingPolicy(trigger)
-        async with running_dispatcher(policy, crossing.counter, 2 * count + 10) as (dispatcher, _, _, port):
-            dispatcher.backends.update(FIRST_BACKEND, crossing.backend.address, EndpointState.READY)
-            dispatcher.backends.update(SECOND_BACKEND, second.address, EndpointState.READY)
-            other = await connect(port)
-            # This leaves a connection on which an attempt is written at once.
-            assert await exchange(other, b"before") == b"value"
-            await wait_for_reuse_delay(dispatcher.backends)
-            await crossing.send_requests(dispatcher, port)
-
-            await call_between_reads(functools.partial(crossing.cross, dispatcher, port))
-            await wait_until(lambda: len(policy.events_of(ClientDisconnected)) == count)
-
-            assert await exchange(other, b"after") == b"value"
-            assert [command[2] for command in second.received] == [b"before", b"after"]
-            assert not dispatcher.requests.open
-            assert not dispatcher.attempts.in_flight
-            assert not dispatcher.requests.disconnected
-        crossing.close()
-        await second.stop()
-
-    run_in_loop(scenario)
+    crossing = Crossing(trigger, count)
+    second = FakeBackend()
+    await second.start()
+    policy = HoldingPolicy(trigger)
+    async with running_dispatcher(policy, crossing.counter, 2 * count + 10) as (dispatcher, _, _, port):
+        dispatcher.backends.update(FIRST_BACKEND, crossing.backend.address, EndpointState.READY)
+        dispatcher.backends.update(SECOND_BACKEND, second.address, EndpointState.READY)
+        other = await connect(port)
+        # This leaves a connection on which an attempt is written at once.
+        assert await exchange(other, b"before") == b"value"
+        await wait_for_reuse_delay(dispatcher.backends)
+        await crossing.send_requests(dispatcher, port)
+
+        await call_between_reads(functools.partial(crossing.cross, dispatcher, port))
+        await wait_until(lambda: len(policy.events_of(ClientDisconnected)) == count)
+
+        assert await exchange(other, b"after") == b"value"
+        assert [command[2] for command in second.received] == [b"before", b"after"]
+        assert not dispatcher.requests.open
+        assert not dispatcher.attempts.in_flight
+        assert not dispatcher.requests.disconnected
+    crossing.close()
+    await second.stop()
 
 
 def accept_from(listener: socket.socket, client: socket.socket) -> socket.socket:
@@ -288,30 +280,27 @@
         connection.close()
 
 
-def test_connection_established_as_its_client_disconnects_is_not_written_to() -> None:
+@runs_in_loop
+async def test_connection_established_as_its_client_disconnects_is_not_written_to() -> None:
     """Both are found in one turn, the connection first: it took its time behind a full queue."""
+    with full_accept_queue() as (listener, fillers):
+        async with running_dispatcher() as (dispatcher, policy, clients, port):
+            dispatcher.backends.update(FIRST_BACKEND, listener.getsockname(), EndpointState.READY)
+            policy.actions_by_event[RequestArrived] = [StartAttempt("waits", FIRST_BACKEND)]
+            leaving = connect_at_once(port, encode_command(*request_command(b"waits")))
+            await wait_until(lambda: dispatcher.attempts.in_flight)
+            (connection,) = dispatcher.backends.connections
+            assert not connection.is_connected
+
+            for filler in fillers:
+                filler.close()
+            listener.settimeout(10.0)
+            with accept_from(listener, connection.socket) as accepted:
+                leaving.close()
+                time.sleep(STALL_S)
+                await wait_until(lambda: not clients.connections)
 
-    async def scenario() -> None:
-        with full_accept_queue() as (listener, fillers):
-            async with running_dispatcher() as (dispatcher, policy, clients, port):
-                dispatcher.backends.update(FIRST_BACKEND, listener.getsockname(), EndpointState.READY)
-                policy.actions_by_event[RequestArrived] = [StartAttempt("waits", FIRST_BACKEND)]
-                leaving = connect_at_once(port, encode_command(*request_command(b"waits")))
-                await wait_until(lambda: dispatcher.attempts.in_flight)
-                (connection,) = dispatcher.backends.connections
-                assert not connection.is_connected
-
-                for filler in fillers:
-                    filler.close()
-                listener.settimeout(10.0)
-                with accept_from(listener, connection.socket) as accepted:
-                    leaving.close()
-                    time.sleep(STALL_S)
-                    await wait_until(lambda: not clients.connections)
-
-                    assert not dispatcher.backends.connections
-                    assert not dispatcher.attempts.in_flight
-                    accepted.settimeout(10.0)
-                    assert accepted.recv(1) == b""
-
-    run_in_loop(scenario)
+                assert not dispatcher.backends.connections
+                assert not dispatcher.attempts.in_flight
+                accepted.settimeout(10.0)
+                assert accepted.recv(1) == b""
--- a/tests/network/test_timers.py
+++ b/tests/network/test_timers.py
@@ -6,65 +6,57 @@
 from functools import partial
 
 from gateway.network.timers import TimerQueue, now_ms
-from tests.support.event_loop import run_in_loop, wait_until
+from tests.support.event_loop import runs_in_loop, wait_until
 
 
-def test_timers_never_fire_early_and_keep_their_order() -> None:
+@runs_in_loop
+async def test_timers_never_fire_early_and_keep_their_order() -> None:
     """The policy ignores a timer that comes early, and the request it was for would never be ended."""
+    timers = TimerQueue(asyncio.get_running_loop())
+    delays_ms = [3.4, 0.6, 2.5, 0.0, 7.7, 1.49]
+    fired: list[int] = []
+    early_by_ms: list[float] = []
 
-    async def scenario() -> None:
-        timers = TimerQueue(asyncio.get_running_loop())
-        delays_ms = [3.4, 0.6, 2.5, 0.0, 7.7, 1.49]
-        fired: list[int] = []
-        early_by_ms: list[float] = []
+    def fire(place: int, due_ms: float) -> None:
+        fired.append(place)
+        early_by_ms.append(due_ms - now_ms())
 
-        def fire(place: int, due_ms: float) -> None:
-            fired.append(place)
-            early_by_ms.append(due_ms - now_ms())
+    start_ms = now_ms()
+    for place, delay_ms in enumerate(delays_ms):
+        timers.call_at(start_ms + delay_ms, partial(fire, place, start_ms + delay_ms))
+    await wait_until(lambda: len(fired) == len(delays_ms))
 
-        start_ms = now_ms()
-        for place, delay_ms in enumerate(delays_ms):
-            timers.call_at(start_ms + delay_ms, partial(fire, place, start_ms + delay_ms))
-        await wait_until(lambda: len(fired) == len(delays_ms))
+    assert fired == [3, 1, 5, 2, 0, 4]
+    assert max(early_by_ms) <= 0
 
-        assert fired == [3, 1, 5, 2, 0, 4]
-        assert max(early_by_ms) <= 0
 
-    run_in_loop(scenario)
+@runs_in_loop
+async def test_cancelled_timer_is_silent_and_wakes_nobody() -> None:
+    timers = TimerQueue(asyncio.get_running_loop())
+    fired: list[str] = []
+    start_ms = now_ms()
 
+    timers.call_at(start_ms + 5, lambda: fired.append("cancelled")).cancel()
+    timers.call_at(start_ms + 10, lambda: fired.append("kept"))
+    await wait_until(lambda: fired)
 
-def test_cancelled_timer_is_silent_and_wakes_nobody() -> None:
-    async def scenario() -> None:
-        timers = TimerQueue(asyncio.get_running_loop())
-        fired: list[str] = []
-        start_ms = now_ms()
+    assert fired == ["kept"]
+    assert not timers._heap
 
-        timers.call_at(start_ms + 5, lambda: fired.append("cancelled")).cancel()
-        timers.call_at(start_ms + 10, lambda: fired.append("kept"))
-        await wait_until(lambda: fired)
 
-        assert fired == ["kept"]
-        assert not timers._heap
-
-    run_in_loop(scenario)
-
-
-def test_timer_made_by_a_callback_waits_for_the_event_loop_s_next_turn() -> None:
+@runs_in_loop
+async def test_timer_made_by_a_callback_waits_for_the_event_loop_s_next_turn() -> None:
     """Else a callback that is due again at once would keep all else from running."""
+    loop = asyncio.get_running_loop()
+    timers = TimerQueue(loop)
+    order: list[str] = []
 
-    async def scenario() -> None:
-        loop = asyncio.get_running_loop()
-        timers = TimerQueue(loop)
-        order: list[str] = []
-
-        def first() -> None:
-            order.append("first")
-            loop.call_soon(order.append, "event loop")
-            timers.call_at(now_ms(), lambda: order.append("second"))
-
-        timers.call_at(now_ms(), first)
-        await wait_until(lambda: len(order) == 3)
+    def first() -> None:
+        order.append("first")
+        loop.call_soon(order.append, "event loop")
+        timers.call_at(now_ms(), lambda: order.append("second"))
 
-        assert order == ["first", "event loop", "second"]
+    timers.call_at(now_ms(), first)
+    await wait_until(lambda: len(order) == 3)
 
-    run_in_loop(scenario)
+    assert order == ["first", "event loop", "second"]
