--- a/tests/network/clients/test_client_endings.py
+++ b/tests/network/clients/test_client_endings.py
@@ -57,7 +57,7 @@
 @runs_in_loop
 async def test_disconnect_behind_a_large_backlog_is_detected() -> None:
     """Unread, it is still with the client's system: no look at the socket here could tell of it."""
-    async with running_listener(memory=16 * 2**20) as (listener, handler, port):
+    async with running_listener(memory_bytes=16 * 2**20) as (listener, handler, port):
         send_backlog_and_close(port, 4 * MAX_READ_AHEAD_BYTES)
         async with asyncio.timeout(5):
             await wait_until(lambda: handler.pending and not listener.connections)
@@ -71,7 +71,7 @@
 @runs_in_loop
 async def test_read_ahead_of_one_connection_is_bounded(memory: int) -> None:
     """By what one connection may hold, and beyond that by what all of them may together."""
-    async with running_listener(memory=memory) as (listener, handler, port):
+    async with running_listener(memory_bytes=memory) as (listener, handler, port):
         peer = await connect(port)
         ids = [b"%05d" % number for number in range(10_000)]
 
@@ -97,7 +97,7 @@
     """It has come as far as this machine, where all that may be read ahead is taken up."""
     monkeypatch.setattr(client_listener, "SWEEP_INTERVAL_MS", 20.0 if detected_by == "a sweep" else 1e9)
 
-    async with running_listener(memory=0) as (listener, handler, port):
+    async with running_listener(memory_bytes=0) as (listener, handler, port):
         leaving = await connect(port)
         staying = await connect(port)
         flood = b"".join(encode_command(*request_command(b"g%04d" % number)) for number in range(1_700))
@@ -129,7 +129,7 @@
 @runs_in_loop
 async def test_read_ahead_memory_is_freed_once_processed() -> None:
     """Otherwise one connection after another would keep as much as all together may read ahead."""
-    async with running_listener(memory=16 * 2**20) as (listener, handler, port):
+    async with running_listener(memory_bytes=16 * 2**20) as (listener, handler, port):
         peer = await connect(port)
         count = 10_000
         peer.writer.write(
@@ -151,7 +151,7 @@
 async def test_read_ahead_of_all_connections_is_bounded() -> None:
     """Each may go on with its own part; one that has more goes on once others have left capacity."""
     limit = MAX_READ_AHEAD_BYTES
-    async with running_listener(memory=8 * limit) as (listener, _handler, port):
+    async with running_listener(memory_bytes=8 * limit) as (listener, _handler, port):
         flood = b"".join(encode_command(*request_command(b"%05d" % number)) for number in range(10_000))
         first = await connect(port)
         second = await connect(port)
--- a/tests/network/test_dispatcher.py
+++ b/tests/network/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatcher between a scripted policy and the sockets' parts."""
+"""The dispatcher between a scripted policy and the parts that own the sockets."""
 
 from __future__ import annotations
 
@@ -6,18 +6,16 @@
 import contextlib
 import socket
 from collections.abc import AsyncIterator
+from typing import NamedTuple
 
 import pytest
 
 from gateway.network.address import Address
-from gateway.network.backends.pool import BackendPool
+from gateway.network.clients import connection as client_connection
 from gateway.network.clients.connection import ClientConnection
-from gateway.network.clients.listener import ClientLimits, ClientListener
 from gateway.network.clients.pending_reply import PendingReply
 from gateway.network.clients.request_parser import RequestParser
-from gateway.network.dispatcher import Dispatcher
 from gateway.network.dispatcher.replies import BUSY_REPLY, FAILED_REPLY, ID_IN_USE_REPLY
-from gateway.network.timers import TimerQueue
 from gateway.policy.actions import IncrementCounter, Reject, StartAttempt
 from gateway.policy.events import (
     AttemptEnded,
@@ -29,6 +27,7 @@
     TimerFired,
 )
 from gateway.policy.timers import TimerKind, TimerToken
+from tests.support.clients import create_dispatcher, create_listener
 from tests.support.event_loop import runs_in_loop, wait_until
 from tests.support.policy_settings import BONUS, IDEMPOTENT, settings
 from tests.support.request_commands import request_command
@@ -36,107 +35,116 @@
 from tests.support.stub_policy import StubPolicy
 
 BACKEND = 7
+POLICY_SETTINGS = settings(max_attempts=2, request_classes=(IDEMPOTENT,))
 
 
-class Scene:
-    """A dispatcher with one client connection, whose far end is `client`."""
+class AttemptEnd(NamedTuple):
+    """What the dispatcher reported of an attempt's end."""
+
+    request_id: str
+    number: int
+    outcome: Outcome
+    request_finished: bool
+
+
+class DispatcherHarness:
+    """A dispatcher with a scripted policy and one client connection, whose far end is `client`."""
 
     def __init__(self, max_open_requests: int = 10) -> None:
-        loop = asyncio.get_running_loop()
-        timers = TimerQueue(loop)
-        self.backends = BackendPool(
-            loop,
-            timers,
-            connect_timeout_ms=250,
-            keepalive_ms=15_000,
-            drain_grace_ms=1_000,
-            max_connections=10,
-            max_buffered_bytes=1_000_000,
-        )
-        policy_settings = settings(max_attempts=2, request_classes=(IDEMPOTENT,))
-        self.dispatcher = Dispatcher(
-            policy_settings,
-            seed=1,
-            timers=timers,
-            backends=self.backends,
-            counter=None,
-            max_open_requests=max_open_requests,
-        )
         self.policy = StubPolicy()
-        self.dispatcher.policy = self.policy  # type: ignore[assignment]
-        self.parser = RequestParser(policy_settings)
-        listener = ClientListener(
-            loop, timers, handler=self.dispatcher, parser=self.parser, limits=ClientLimits(10, 1_000_000)
+        self.dispatcher = create_dispatcher(
+            POLICY_SETTINGS, self.policy, connect_timeout_ms=250, max_open_requests=max_open_requests
         )
+        self.parser = RequestParser(POLICY_SETTINGS)
         accepted, self.client = socket.socketpair()
         accepted.setblocking(False)
-        self.connection = ClientConnection(listener, accepted)
+        self.connection = ClientConnection(create_listener(self.dispatcher, self.parser), accepted)
 
-    def request(self, id: bytes = b"r1", remaining_ms: int = 3000) -> PendingReply:
+    def request(self, request_id: str = "r1", remaining_ms: int = 3000) -> PendingReply:
+        """Hand a request of the client to the dispatcher."""
         pending_reply = PendingReply(self.connection)
-        pending_reply.open_request(id.decode())
+        pending_reply.open_request(request_id)
         self.connection.replies.add(pending_reply)
-        args = list(request_command(id, plan=BONUS.name.encode(), remaining_ms=remaining_ms))
-        self.dispatcher.on_request(self.parser.parse(args), pending_reply)
+        command = request_command(request_id.encode(), plan=BONUS.name.encode(), remaining_ms=remaining_ms)
+        self.dispatcher.on_request(self.parser.parse(list(command)), pending_reply)
         return pending_reply
 
     def ended_attempts(self) -> list[AttemptEnded]:
+        """The ends of attempts that were reported to the policy."""
         return [event for event in self.policy.events if isinstance(event, AttemptEnded)]
 
+    def attempt_ends(self) -> list[AttemptEnd]:
+        """The same without backends and latencies."""
+        return [
+            AttemptEnd(event.request_id, event.attempt_number, event.outcome, event.request_finished)
+            for event in self.ended_attempts()
+        ]
+
 
 @contextlib.asynccontextmanager
-async def silent_backend(scene: Scene) -> AsyncIterator[list[asyncio.StreamWriter]]:
-    """A listed backend that accepts connections and says nothing; yields its ends of them."""
+async def unresponsive_backend(harness: DispatcherHarness) -> AsyncIterator[list[asyncio.StreamWriter]]:
+    """A listed backend that accepts connections and sends nothing; yields its ends of them."""
     writers: list[asyncio.StreamWriter] = []
-    server = await asyncio.start_server(lambda _, writer: writers.append(writer), LOCAL, 0)
+    server = await asyncio.start_server(lambda _reader, writer: writers.append(writer), LOCAL, 0)
     port = server.sockets[0].getsockname()[1]
-    scene.backends.update(BACKEND, Address(LOCAL, port), EndpointState.READY)
+    harness.dispatcher.backends.update(BACKEND, Address(LOCAL, port), EndpointState.READY)
     yield writers
     server.close()
 
 
 @runs_in_loop
 async def test_request_fails_if_the_policy_raises(caplog: pytest.LogCaptureFixture) -> None:
-    scene = Scene()
+    harness = DispatcherHarness()
+    harness.policy.actions_by_event[RequestArrived] = ValueError("fault")
 
-    scene.policy.actions_by_event[RequestArrived] = ValueError("what")
-    assert scene.request().reply == FAILED_REPLY
+    failed = harness.request()
 
-    scene.policy.actions_by_event[RequestArrived] = [Reject("r2", 30.5)]
-    assert scene.request(b"r2").reply == b"-BUSY 31\r\n"
+    assert failed.reply == FAILED_REPLY
     assert "RequestArrived could not be handled" in caplog.text
 
 
 @runs_in_loop
-async def test_request_that_the_policy_forgets_fails_at_its_deadline() -> None:
+async def test_requests_after_a_fault_of_the_policy_are_handled() -> None:
+    harness = DispatcherHarness()
+    harness.policy.actions_by_event[RequestArrived] = ValueError("fault")
+    harness.request()
+    harness.policy.actions_by_event[RequestArrived] = [Reject("r2", 30.5)]
+
+    rejected = harness.request("r2")
+
+    assert rejected.reply == b"-BUSY 31\r\n"
+
+
+@runs_in_loop
+async def test_request_that_the_policy_forgets_fails_at_its_deadline(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
     """A fault at a timer or a counter's response would leave its client without a reply."""
-    scene = Scene()
-    pending_reply = scene.request(remaining_ms=20)
+    harness = DispatcherHarness()
+    pending_reply = harness.request(remaining_ms=20)
     assert pending_reply.reply is None
 
     await wait_until(lambda: pending_reply.is_completed)
 
     assert pending_reply.reply == FAILED_REPLY
-    assert not scene.dispatcher.requests.open
-    assert scene.policy.events_of(ClientDisconnected) == [ClientDisconnected("r1")]
+    assert not harness.dispatcher.requests.open
+    assert harness.policy.events_of(ClientDisconnected) == [ClientDisconnected("r1")]
+    assert "policy did not reply to request r1 by its deadline; the request fails" in caplog.messages
 
 
 @runs_in_loop
 async def test_attempts_are_limited_and_ignored_after_the_reply() -> None:
-    scene = Scene()
+    harness = DispatcherHarness()
     start = StartAttempt("r1", BACKEND)
-    scene.policy.actions_by_event[RequestArrived] = [start, start, start, Reject("r1"), start]
+    harness.policy.actions_by_event[RequestArrived] = [start, start, start, Reject("r1"), start]
 
-    scene.request()
+    harness.request()
 
-    endings = [
-        (event.attempt_number, event.outcome, event.request_finished) for event in scene.ended_attempts()
-    ]
-    assert endings == [
-        (0, Outcome.CONNECT_ERROR, False),  # a backend that was never listed
-        (1, Outcome.CONNECT_ERROR, False),
-        (2, Outcome.NOT_STARTED, False),
-        (0, Outcome.NOT_STARTED, True),
+    assert harness.attempt_ends() == [
+        AttemptEnd("r1", 0, Outcome.CONNECT_ERROR, request_finished=False),  # a backend that is not listed
+        AttemptEnd("r1", 1, Outcome.CONNECT_ERROR, request_finished=False),
+        AttemptEnd("r1", 2, Outcome.NOT_STARTED, request_finished=False),
+        AttemptEnd("r1", 0, Outcome.NOT_STARTED, request_finished=True),
     ]
 
 
@@ -144,71 +152,76 @@
 async def test_attempt_not_started_for_a_disconnected_client_ends_by_its_own_number(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """By another one's the policy would hold it to be in flight for ever."""
-    monkeypatch.setattr("gateway.network.clients.connection.DISCONNECT_CHECK_INTERVAL_MS", 0.0)
-
-    scene = Scene()
-    scene.policy.actions_by_event[RequestArrived] = [StartAttempt("r1", BACKEND)]
-    scene.request()
-    scene.policy.actions_by_event[RequestArrived] = []
-    scene.request(b"r2")
-    scene.policy.actions_by_event[TimerFired] = [StartAttempt("r2", BACKEND), StartAttempt("r1", BACKEND)]
-
-    scene.client.close()
-    scene.dispatcher.deliver(TimerFired(TimerToken(TimerKind.REQUEST, "t")))
-
-    endings = [
-        (event.request_id, event.attempt_number, event.request_finished) for event in scene.ended_attempts()
+    """Under another number, the policy would count the attempt as in flight for ever."""
+    monkeypatch.setattr(client_connection, "DISCONNECT_CHECK_INTERVAL_MS", 0.0)
+    harness = DispatcherHarness()
+    harness.policy.actions_by_event[RequestArrived] = [StartAttempt("r1", BACKEND)]
+    harness.request()
+    harness.policy.actions_by_event[RequestArrived] = []
+    harness.request("r2")
+    harness.policy.actions_by_event[TimerFired] = [StartAttempt("r2", BACKEND), StartAttempt("r1", BACKEND)]
+
+    harness.client.close()
+    harness.dispatcher.deliver(TimerFired(TimerToken(TimerKind.REQUEST, "t")))
+
+    assert harness.attempt_ends() == [
+        AttemptEnd("r1", 0, Outcome.CONNECT_ERROR, request_finished=False),
+        AttemptEnd("r2", 0, Outcome.NOT_STARTED, request_finished=True),
+        AttemptEnd("r1", 1, Outcome.NOT_STARTED, request_finished=True),
     ]
-    assert endings == [("r1", 0, False), ("r2", 0, True), ("r1", 1, True)]
-    assert len(scene.policy.events_of(ClientDisconnected)) == 2
-    assert not scene.dispatcher.requests.open
-    assert not scene.dispatcher.requests.disconnected
+    assert len(harness.policy.events_of(ClientDisconnected)) == 2
+    assert not harness.dispatcher.requests.open
+    assert not harness.dispatcher.requests.disconnected
 
 
 @runs_in_loop
 async def test_attempt_timeout_leaves_the_request_open() -> None:
-    scene = Scene()
-    async with silent_backend(scene):
-        scene.policy.actions_by_event[RequestArrived] = [StartAttempt("r1", BACKEND, timeout_ms=20.0)]
-        scene.policy.actions_by_event[AttemptEnded] = [Reject("r1")]
-
-        pending_reply = scene.request()
+    harness = DispatcherHarness()
+    harness.policy.actions_by_event[RequestArrived] = [StartAttempt("r1", BACKEND, timeout_ms=20.0)]
+    harness.policy.actions_by_event[AttemptEnded] = [Reject("r1")]
+    async with unresponsive_backend(harness):
+        pending_reply = harness.request()
         await wait_until(lambda: pending_reply.is_completed)
 
-        (ended,) = scene.ended_attempts()
-        assert ended.outcome is Outcome.TIMED_OUT
-        assert not ended.request_finished
-        assert ended.latency_ms >= 20
-        assert pending_reply.reply == BUSY_REPLY
+    (ended,) = harness.ended_attempts()
+    assert ended.outcome is Outcome.TIMED_OUT
+    assert not ended.request_finished
+    assert ended.latency_ms >= 20
+    assert pending_reply.reply == BUSY_REPLY
 
 
 @runs_in_loop
 async def test_id_is_in_use_while_an_attempt_of_it_is_in_flight() -> None:
     """The policy need not cancel an attempt when its request has ended; both are known by the id."""
-    scene = Scene()
-    async with silent_backend(scene) as writers:
-        scene.policy.actions_by_event[RequestArrived] = [StartAttempt("r1", BACKEND), Reject("r1")]
-        assert scene.request().reply == BUSY_REPLY
+    harness = DispatcherHarness()
+    harness.policy.actions_by_event[RequestArrived] = [StartAttempt("r1", BACKEND), Reject("r1")]
+    async with unresponsive_backend(harness) as writers:
+        first = harness.request()
         await wait_until(lambda: writers)
-        assert scene.request().reply == ID_IN_USE_REPLY
+        second = harness.request()
 
         writers[0].close()
-        await wait_until(lambda: scene.policy.events_of(AttemptEnded))
+        await wait_until(lambda: harness.policy.events_of(AttemptEnded))
+        has_attempts = bool(harness.dispatcher.attempts.in_flight)
+        third = harness.request()
 
-        assert not scene.dispatcher.attempts.in_flight
-        assert scene.request().reply == BUSY_REPLY
-        assert len(scene.policy.events_of(RequestArrived)) == 2
+    assert first.reply == BUSY_REPLY
+    assert second.reply == ID_IN_USE_REPLY
+    assert not has_attempts
+    assert third.reply == BUSY_REPLY
+    assert len(harness.policy.events_of(RequestArrived)) == 2
 
 
 @runs_in_loop
 async def test_request_beyond_the_limit_of_open_requests_is_rejected() -> None:
-    scene = Scene(max_open_requests=1)
+    harness = DispatcherHarness(max_open_requests=1)
 
-    assert scene.request().reply is None
-    assert scene.request(b"r2").reply == BUSY_REPLY
+    first = harness.request()
+    second = harness.request("r2")
 
-    assert len(scene.policy.events) == 1
+    assert first.reply is None
+    assert second.reply == BUSY_REPLY
+    assert len(harness.policy.events) == 1
 
 
 @pytest.mark.parametrize(
@@ -219,15 +232,15 @@
         (ID_IN_USE_REPLY, b"-ERR id in use\r\n"),
     ],
 )
-def test_replies_stay_as_the_protocol_words_them(reply: bytes, on_the_wire: bytes) -> None:
+def test_replies_are_those_of_the_protocol(reply: bytes, on_the_wire: bytes) -> None:
     assert reply == on_the_wire
 
 
 @runs_in_loop
 async def test_counter_calls_fail_as_never_made_without_a_counter() -> None:
-    scene = Scene()
-    scene.policy.actions_by_event[RequestArrived] = [IncrementCounter("n", 1.0, 100.0)]
+    harness = DispatcherHarness()
+    harness.policy.actions_by_event[RequestArrived] = [IncrementCounter("n", 1.0, 100.0)]
 
-    scene.request()
+    harness.request()
 
-    assert scene.policy.events_of(CounterResponse) == [CounterResponse("n", Outcome.CONNECT_ERROR, 0.0)]
+    assert harness.policy.events_of(CounterResponse) == [CounterResponse("n", Outcome.CONNECT_ERROR, 0.0)]
--- a/tests/network/test_dispatcher_endings.py
+++ b/tests/network/test_dispatcher_endings.py
@@ -1,6 +1,6 @@
-"""Requests whose clients disconnect while something is awaited: nothing is forwarded for nobody.
+"""Requests whose clients disconnect while the gateway waits for something: they are not forwarded.
 
-The crossings are forced on real sockets: a scripted peer holds, splits or resets what it sends.
+The crossings are forced on real sockets: a scripted peer delays, splits or resets what it sends.
 """
 
 from __future__ import annotations
@@ -34,27 +34,32 @@
 from tests.support.fake_services import FakeBackend, FakeCounter, ScriptedReply
 from tests.support.gateway_harness import SETTINGS, GatewayHarness, running_gateway
 from tests.support.manual_server import ManualServer, full_accept_queue
+from tests.support.replies import served_reply
 from tests.support.request_commands import request_command
 from tests.support.resp_peer import RespPeer, encode_command
 from tests.support.stub_policy import StubPolicy
 
 FIRST_BACKEND = 7
 SECOND_BACKEND = 8
-STALL_S = 0.12  # more than the 0.1 s in which an attempt may still begin for a client that has disconnected
-REQUEST_WAIT_MS = 8_000  # hundreds are opened one by one, on a busy machine for seconds, before the crossing
+
+STALL_S = 0.12
+"""Longer than the 0.1 s within which an attempt may still begin for a client that has disconnected."""
+
+REMAINING_MS = 8_000
+"""Long enough to open hundreds of requests one by one before the crossing, on a busy machine too."""
 
 
 @runs_in_loop
 async def test_request_abandoned_during_a_counter_call_is_not_forwarded() -> None:
-    answered = asyncio.Event()
+    counter_is_released = asyncio.Event()
 
-    async def answer_late(_call: list[bytes]) -> ScriptedReply:
-        await answered.wait()
+    async def respond_when_released(_call: list[bytes]) -> ScriptedReply:
+        await counter_is_released.wait()
         return b"ok 1\r\n"
 
-    harness = GatewayHarness(FakeBackend(), counter=FakeCounter(answer_late))
-    info = {**SETTINGS["familyInfo"], "countWait": 5_000.0}
-    harness.settings = {**SETTINGS, "groupSize": 9, "familyInfo": info}
+    harness = GatewayHarness(FakeBackend(), counter=FakeCounter(respond_when_released))
+    counter_settings = {**SETTINGS["familyInfo"], "countWait": 5_000.0}
+    harness.settings = {**SETTINGS, "groupSize": 9, "familyInfo": counter_settings}
     async with running_gateway(harness):
         leaving = await harness.client()
         other = await harness.client()
@@ -62,9 +67,9 @@
         await wait_until(lambda: harness.counter.received)
 
         leaving.close()
-        other_customer = b"00000000b4d65522"  # that does not wait for the same response
+        other_customer = b"00000000b4d65522"  # its lease does not wait for the same response
         assert await harness.request(other, id=b"1", customer=other_customer) == b"value"
-        answered.set()
+        counter_is_released.set()
         for number in (b"2", b"3"):
             assert await harness.request(other, id=number, customer=other_customer) == b"value"
 
@@ -87,22 +92,22 @@
             assert not dispatcher.backends.connections
             assert not dispatcher.attempts.in_flight
             assert not dispatcher.requests.open
-            kinds = [type(event) for event in policy.events]
-            assert kinds == [RequestArrived, ClientDisconnected, AttemptEnded]
+            event_types = [type(event) for event in policy.events]
+            assert event_types == [RequestArrived, ClientDisconnected, AttemptEnded]
 
 
 @runs_in_loop
 async def test_request_of_a_disconnected_client_is_not_retried() -> None:
-    break_off = asyncio.Event()
+    backend_is_released = asyncio.Event()
 
-    async def script(command: list[bytes]) -> ScriptedReply:
+    async def break_connection_when_released(command: list[bytes]) -> ScriptedReply:
         if command[2] == b"waits":
-            await break_off.wait()
+            await backend_is_released.wait()
             return b""
-        return b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
+        return served_reply(b"value")
 
-    first = FakeBackend(script)
-    second = FakeBackend(script)
+    first = FakeBackend(break_connection_when_released)
+    second = FakeBackend(break_connection_when_released)
     async with running_gateway(GatewayHarness(first, second)) as harness:
         leaving = await harness.client()
         other = await harness.client()
@@ -111,15 +116,16 @@
 
         leaving.close()
         assert await harness.request(other, id=b"1") == b"value"
-        break_off.set()
+        backend_is_released.set()
         for number in (b"2", b"3"):
             assert await harness.request(other, id=number) == b"value"
 
-        assert [command[2] for command in first.received + second.received].count(b"waits") == 1
+        attempts = [command for command in first.received + second.received if command[2] == b"waits"]
+        assert len(attempts) == 1
 
 
 class Trigger(Enum):
-    """What makes the policy start an attempt for a request that waits."""
+    """The event at which the policy starts an attempt for a request that waits."""
 
     ATTEMPT_ENDED = "a failed attempt"
     TIMER = "a timer"
@@ -127,8 +133,8 @@
     REQUEST = "the request"
 
 
-class HoldingPolicy(StubPolicy):
-    """Holds all requests back until the trigger, then sends each to the second backend."""
+class DelayingPolicy(StubPolicy):
+    """Delays all requests until the trigger, then starts an attempt of each at the second backend."""
 
     def __init__(self, trigger: Trigger) -> None:
         super().__init__()
@@ -141,7 +147,7 @@
             case RequestArrived(request_id) if request_id in ("before", "after"):
                 return [StartAttempt(request_id, SECOND_BACKEND)]
             case RequestArrived(request_id):
-                return [self.hold(request_id)]
+                return [self.delay(request_id)]
             case TimerFired(TimerToken(_, request_id)) | AttemptEnded(request_id, request_finished=False):
                 return [StartAttempt(request_id, SECOND_BACKEND)]
             case CounterResponse():
@@ -150,7 +156,8 @@
                 return [StartAttempt(request_id, SECOND_BACKEND) for request_id in waiting]
         return []
 
-    def hold(self, request_id: str) -> Action:
+    def delay(self, request_id: str) -> Action:
+        """Return the action after which the trigger comes."""
         self.waiting.append(request_id)
         match self.trigger:
             case Trigger.ATTEMPT_ENDED | Trigger.TIMER:
@@ -164,13 +171,12 @@
 class Crossing:
     """Clients that disconnect in the turn of the event loop in which the trigger comes for their requests."""
 
-    def __init__(self, trigger: Trigger, count: int) -> None:
+    def __init__(self, trigger: Trigger, client_count: int) -> None:
         self.trigger = trigger
-        self.ids = [b"%d" % number for number in range(count)]
+        self.ids = [b"%d" % number for number in range(client_count)]
         self.clients: list[socket.socket] = []
-        self.held: list[
-            socket.socket
-        ] = []  # connections on which backends or the counter hold responses back
+        self.delayed_connections: list[socket.socket] = []
+        """Connections of the gateway on which a backend or the counter delays its response."""
         self.backend = ManualServer()
         self.counter_server = ManualServer()
         loop = asyncio.get_running_loop()
@@ -181,18 +187,18 @@
         if self.trigger is Trigger.REQUEST:
             return
         for id in self.ids:
-            self.clients.append(
-                connect_at_once(port, encode_command(*request_command(id, remaining_ms=REQUEST_WAIT_MS)))
-            )
+            command = encode_command(*request_command(id, remaining_ms=REMAINING_MS))
+            self.clients.append(connect_at_once(port, command))
             await wait_until(lambda: len(dispatcher.requests.open) == len(self.clients))
             if self.trigger is not Trigger.COUNTER_RESPONSE:
-                self.held.append(await self.backend.accept_after(1))
+                self.delayed_connections.append(await self.backend.accept_after(1))
         if self.trigger is Trigger.COUNTER_RESPONSE:
-            self.held.append(await self.counter_server.accept())
-            self.held[0].setblocking(True)
+            self.delayed_connections.append(await self.counter_server.accept())
+            self.delayed_connections[0].setblocking(True)
             await wait_until(self.all_counter_calls_are_written)
 
     def all_counter_calls_are_written(self) -> bool:
+        """Whether the call of each request has left the gateway."""
         if len(self.counter.unreported_calls["all"]) != len(self.ids):
             return False
         return not any(
@@ -204,14 +210,13 @@
         """Cause the trigger and the disconnects, while the event loop is stalled."""
         match self.trigger:
             case Trigger.REQUEST:
-                self.clients.extend(
-                    connect_at_once(port, encode_command(*request_command(id))) for id in self.ids
-                )
+                for id in self.ids:
+                    self.clients.append(connect_at_once(port, encode_command(*request_command(id))))
             case Trigger.ATTEMPT_ENDED:
-                for connection in self.held:
+                for connection in self.delayed_connections:
                     connection.sendall(b"-ERR failed\r\n")
             case Trigger.COUNTER_RESPONSE:
-                self.held[0].sendall(b"ok 1\r\n")
+                self.delayed_connections[0].sendall(b"ok 1\r\n")
             case Trigger.TIMER:
                 for id in self.ids:
                     event = TimerFired(TimerToken(TimerKind.REQUEST, id.decode()))
@@ -221,47 +226,50 @@
         time.sleep(STALL_S)
 
     def close(self) -> None:
-        for connection in self.held:
+        """Close the servers and the gateway's counter client."""
+        for connection in self.delayed_connections:
             connection.close()
         self.counter.close()
         self.backend.close()
         self.counter_server.close()
 
 
-async def exchange(peer: RespPeer, id: bytes) -> object:
+async def reply_to_request(peer: RespPeer, id: bytes) -> object:
+    """Send a request and return its reply."""
     peer.send(*request_command(id))
     return await peer.receive()
 
 
-@pytest.mark.parametrize("count", [1, 300])
+@pytest.mark.parametrize("client_count", [1, 300])
 @pytest.mark.parametrize("trigger", Trigger)
 @runs_in_loop
 async def test_no_attempt_starts_for_a_client_whose_disconnect_is_unread(
-    trigger: Trigger, count: int, monkeypatch: pytest.MonkeyPatch
+    trigger: Trigger, client_count: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Stalled, the event loop finds both in one turn, and what triggers the attempt first.
+    """After a stall, the event loop finds trigger and disconnect in one turn, the trigger first.
 
-    A timer or a response brings the first attempt or a hedged request, a failed attempt the next one.
+    A timer or a response triggers the first attempt or a hedged request, a failed attempt a retry.
     """
     monkeypatch.setattr("gateway.network.counter.connection.INACTIVITY_TIMEOUT_MS", math.inf)
-
-    crossing = Crossing(trigger, count)
+    crossing = Crossing(trigger, client_count)
     second = FakeBackend()
     await second.start()
-    policy = HoldingPolicy(trigger)
-    async with running_dispatcher(policy, crossing.counter, 2 * count + 10) as (dispatcher, _, _, port):
+    policy = DelayingPolicy(trigger)
+    async with running_dispatcher(
+        policy, counter=crossing.counter, max_connections=2 * client_count + 10
+    ) as (dispatcher, _, _, port):
         dispatcher.backends.update(FIRST_BACKEND, crossing.backend.address, EndpointState.READY)
         dispatcher.backends.update(SECOND_BACKEND, second.address, EndpointState.READY)
         other = await connect(port)
-        # This leaves a connection on which an attempt is written at once.
-        assert await exchange(other, b"before") == b"value"
+        # This leaves an idle connection on which an attempt is written at once.
+        assert await reply_to_request(other, b"before") == b"value"
         await wait_for_reuse_delay(dispatcher.backends)
         await crossing.send_requests(dispatcher, port)
 
         await call_between_reads(functools.partial(crossing.cross, dispatcher, port))
-        await wait_until(lambda: len(policy.events_of(ClientDisconnected)) == count)
+        await wait_until(lambda: len(policy.events_of(ClientDisconnected)) == client_count)
 
-        assert await exchange(other, b"after") == b"value"
+        assert await reply_to_request(other, b"after") == b"value"
         assert [command[2] for command in second.received] == [b"before", b"after"]
         assert not dispatcher.requests.open
         assert not dispatcher.attempts.in_flight
@@ -271,7 +279,7 @@
 
 
 def accept_from(listener: socket.socket, client: socket.socket) -> socket.socket:
-    """Accept until it is the connection of this client, without a turn of the event loop."""
+    """Accept connections until that of this client, without a turn of the event loop."""
     client_address = client.getsockname()
     while True:
         connection, peer_address = listener.accept()
@@ -282,7 +290,7 @@
 
 @runs_in_loop
 async def test_connection_established_as_its_client_disconnects_is_not_written_to() -> None:
-    """Both are found in one turn, the connection first: it took its time behind a full queue."""
+    """The event loop finds both in one turn, the connection first, as it waited behind a full queue."""
     with full_accept_queue() as (listener, fillers):
         async with running_dispatcher() as (dispatcher, policy, clients, port):
             dispatcher.backends.update(FIRST_BACKEND, listener.getsockname(), EndpointState.READY)
--- a/tests/support/clients.py
+++ b/tests/support/clients.py
@@ -7,6 +7,7 @@
 import socket
 from collections.abc import AsyncIterator, Callable
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from gateway.network.backends.pool import BackendPool
 from gateway.network.clients.listener import ClientLimits, ClientListener
@@ -15,13 +16,14 @@
 from gateway.network.counter.client import CounterClient
 from gateway.network.dispatcher import Dispatcher
 from gateway.network.timers import TimerQueue
-from gateway.policy.settings import Idempotency, Plan, RequestClass
+from gateway.policy.settings import Idempotency, Plan, RequestClass, Settings
 from tests.support.policy_settings import settings
 from tests.support.resp_peer import LOCAL, RespPeer
 from tests.support.stub_policy import StubPolicy
 
 VIEW = RequestClass("view", 1500, 4000, idempotency=Idempotency.IDEMPOTENT)
 PARSER = RequestParser(settings(gateway_count=1, request_classes=(VIEW,), plans=(Plan("free"),)))
+CLIENT_MEMORY_BYTES = 1_000_000
 
 
 @dataclass
@@ -32,96 +34,150 @@
     disconnected: list[str] = field(default_factory=list)
     immediate_reply: bytes = b""
 
-    def on_request(self, command: ClientRequest, slot: PendingReply) -> None:
-        self.pending[command.id] = slot
+    def on_request(self, request: ClientRequest, pending_reply: PendingReply) -> None:
+        self.pending[request.id] = pending_reply
         if self.immediate_reply:
-            slot.complete(self.immediate_reply)
+            pending_reply.complete(self.immediate_reply)
 
-    def on_client_disconnected(self, request: str) -> None:
-        self.disconnected.append(request)
+    def on_client_disconnected(self, request_id: str) -> None:
+        self.disconnected.append(request_id)
+
+
+class RunningListener(NamedTuple):
+    """A client listener that accepts connections at a port."""
+
+    listener: ClientListener
+    handler: RecordingHandler
+    port: int
 
 
 @contextlib.asynccontextmanager
 async def running_listener(
-    max_connections: int = 100, memory: int = 1_000_000
-) -> AsyncIterator[tuple[ClientListener, RecordingHandler, int]]:
-    """A client listener with a recording handler, and its port."""
+    max_connections: int = 100, memory_bytes: int = CLIENT_MEMORY_BYTES
+) -> AsyncIterator[RunningListener]:
+    """A client listener with a recording handler."""
     loop = asyncio.get_running_loop()
     handler = RecordingHandler()
     listener = ClientListener(
-        loop, TimerQueue(loop), handler=handler, parser=PARSER, limits=ClientLimits(max_connections, memory)
+        loop,
+        TimerQueue(loop),
+        handler=handler,
+        parser=PARSER,
+        limits=ClientLimits(max_connections=max_connections, memory_bytes=memory_bytes),
     )
     port = listener.listen(LOCAL, 0)
-    yield listener, handler, port
+    yield RunningListener(listener, handler, port)
     listener.begin_shutdown()
     for connection in list(listener.connections):
         connection.close()
 
 
-@contextlib.asynccontextmanager
-async def running_dispatcher(
-    policy: StubPolicy | None = None, counter: CounterClient | None = None, max_connections: int = 10
-) -> AsyncIterator[tuple[Dispatcher, StubPolicy, ClientListener, int]]:
-    """The sockets of clients and backends, joined to a scripted policy."""
+def create_dispatcher(  # noqa: PLR0913 - the parts and bounds that a test is about, by keyword
+    policy_settings: Settings,
+    policy: StubPolicy,
+    *,
+    counter: CounterClient | None = None,
+    connect_timeout_ms: float = 60_000,
+    max_connections: int = 10,
+    max_open_requests: int = 10,
+) -> Dispatcher:
+    """Return a dispatcher between a scripted policy and an empty backend pool."""
     loop = asyncio.get_running_loop()
-    policy = policy or StubPolicy()
     timers = TimerQueue(loop)
     backends = BackendPool(
         loop,
         timers,
-        connect_timeout_ms=60_000,
+        connect_timeout_ms=connect_timeout_ms,
         keepalive_ms=15_000,
         drain_grace_ms=1_000,
         max_connections=max_connections,
         max_buffered_bytes=1_000_000,
     )
     dispatcher = Dispatcher(
-        settings(gateway_count=1, request_classes=(VIEW,)),
+        policy_settings,
         seed=1,
         timers=timers,
         backends=backends,
         counter=counter,
-        max_open_requests=max_connections,
+        max_open_requests=max_open_requests,
     )
     dispatcher.policy = policy  # type: ignore[assignment]
-    listener = ClientListener(
-        loop, timers, handler=dispatcher, parser=PARSER, limits=ClientLimits(max_connections, 1_000_000)
+    return dispatcher
+
+
+def create_listener(
+    dispatcher: Dispatcher, parser: RequestParser = PARSER, max_connections: int = 10
+) -> ClientListener:
+    """Return a client listener that hands its requests to the dispatcher."""
+    return ClientListener(
+        asyncio.get_running_loop(),
+        dispatcher.timers,
+        handler=dispatcher,
+        parser=parser,
+        limits=ClientLimits(max_connections=max_connections, memory_bytes=CLIENT_MEMORY_BYTES),
+    )
+
+
+class RunningDispatcher(NamedTuple):
+    """A dispatcher whose client listener accepts connections at a port."""
+
+    dispatcher: Dispatcher
+    policy: StubPolicy
+    listener: ClientListener
+    port: int
+
+
+@contextlib.asynccontextmanager
+async def running_dispatcher(
+    policy: StubPolicy | None = None, counter: CounterClient | None = None, max_connections: int = 10
+) -> AsyncIterator[RunningDispatcher]:
+    """The sockets of clients and backends, joined to a scripted policy."""
+    policy = policy or StubPolicy()
+    dispatcher = create_dispatcher(
+        settings(gateway_count=1, request_classes=(VIEW,)),
+        policy,
+        counter=counter,
+        max_connections=max_connections,
+        max_open_requests=max_connections,
     )
-    yield dispatcher, policy, listener, listener.listen(LOCAL, 0)
+    listener = create_listener(dispatcher, max_connections=max_connections)
+    port = listener.listen(LOCAL, 0)
+    yield RunningDispatcher(dispatcher, policy, listener, port)
     listener.begin_shutdown()
     listener.close()
-    backends.close()
+    dispatcher.backends.close()
 
 
 async def connect(port: int) -> RespPeer:
+    """Connect a client that goes on with turns of the event loop."""
     return RespPeer(*await asyncio.open_connection(LOCAL, port))
 
 
-def connect_at_once(port: int, *data: bytes) -> socket.socket:
-    """Connect and write in one step: no turn of the gateway's event loop lies between."""
+def connect_at_once(port: int, data: bytes = b"") -> socket.socket:
+    """Connect a client and send in one step: no turn of the gateway's event loop lies between."""
     client = socket.create_connection((LOCAL, port))
-    for part in data:
-        client.sendall(part)
+    client.sendall(data)
     return client
 
 
 async def as_peer(client: socket.socket) -> RespPeer:
+    """Continue a client of `connect_at_once` with turns of the event loop."""
     return RespPeer(*await asyncio.open_connection(sock=client))
 
 
-async def call_between_reads(act: Callable[[], None]) -> None:
-    """Act among what the event loop reads in one turn: its timers come next, and then what it reads anew."""
+async def call_between_reads(callback: Callable[[], None]) -> None:
+    """Call back among the reads of one turn of the event loop: its timers come next, then new reads."""
     loop = asyncio.get_running_loop()
-    done = asyncio.Event()
+    is_called = asyncio.Event()
     near, far = socket.socketpair()
 
     def on_readable() -> None:
         loop.remove_reader(near)
-        act()
-        done.set()
+        callback()
+        is_called.set()
 
     loop.add_reader(near, on_readable)
     far.send(b"go")
-    await done.wait()
+    await is_called.wait()
     near.close()
     far.close()
--- a/tests/support/manual_server.py
+++ b/tests/support/manual_server.py
@@ -7,6 +7,7 @@
 import socket
 import struct
 from collections.abc import Iterator
+from typing import NamedTuple
 
 from tests.support.resp_peer import LOCAL, RespPeer
 
@@ -19,20 +20,22 @@
         self.listener.setblocking(False)
         self.address = self.listener.getsockname()
 
-    async def accept_after(self, commands: int) -> socket.socket:
+    async def accept_after(self, command_count: int) -> socket.socket:
         """Accept a connection, and return it once so many commands have been received in full."""
         connection = await self.accept()
         peer = RespPeer(*await asyncio.open_connection(sock=connection.dup()))
-        for _ in range(commands):
+        for _ in range(command_count):
             assert await peer.receive()
         connection.setblocking(True)
         return connection
 
     async def accept(self) -> socket.socket:
+        """Accept a connection; nothing is read from it."""
         connection, _ = await asyncio.get_running_loop().sock_accept(self.listener)
         return connection
 
     def close(self) -> None:
+        """Accept no further connection."""
         self.listener.close()
 
 
@@ -42,13 +45,20 @@
     connection.close()
 
 
+class FullAcceptQueue(NamedTuple):
+    """A listening socket on which connections are established late, and the clients that fill its queue."""
+
+    listener: socket.socket
+    fillers: list[socket.socket]
+
+
 @contextlib.contextmanager
-def full_accept_queue() -> Iterator[tuple[socket.socket, list[socket.socket]]]:
-    """A listening socket to which connections come up late, and the connections that fill its queue."""
+def full_accept_queue() -> Iterator[FullAcceptQueue]:
+    """A listening socket whose accept queue is full until its fillers are closed and accepted."""
     with contextlib.ExitStack() as stack:
         listener = stack.enter_context(socket.create_server((LOCAL, 0), backlog=0))
         fillers = [stack.enter_context(socket.socket()) for _ in range(3)]
         for filler in fillers:
             filler.setblocking(False)
             filler.connect_ex(listener.getsockname())
-        yield listener, fillers
+        yield FullAcceptQueue(listener, fillers)
--- a/tests/support/resp_peer.py
+++ b/tests/support/resp_peer.py
@@ -9,32 +9,39 @@
 
 LOCAL = "127.0.0.1"
 
+READ_BYTES = 65536
 
-def encode_command(*args: bytes) -> bytes:
-    return b"*%d\r\n" % len(args) + b"".join(b"$%d\r\n%b\r\n" % (len(a), a) for a in args)
+
+def encode_command(*arguments: bytes) -> bytes:
+    """Return a command as a RESP array of bulk strings."""
+    encoded_arguments = (b"$%d\r\n%b\r\n" % (len(argument), argument) for argument in arguments)
+    return b"*%d\r\n" % len(arguments) + b"".join(encoded_arguments)
 
 
 class RespPeer:
-    """One end of a RESP connection."""
+    """One end of a RESP connection, of a client or of a server."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.reader, self.writer = reader, writer
-        self.resp = hiredis.Reader(notEnoughData=Ellipsis)
+        self.reader = reader
+        self.writer = writer
+        self._parser = hiredis.Reader(notEnoughData=Ellipsis)
 
-    def send(self, *args: bytes) -> None:
-        self.writer.write(encode_command(*args))
+    def send(self, *arguments: bytes) -> None:
+        """Send a command."""
+        self.writer.write(encode_command(*arguments))
 
     async def receive(self) -> Any:
-        """The next command or answer; None at the end of the connection."""
-        while (got := self.resp.gets()) is Ellipsis:
+        """Return the next command or reply; None at the end of the connection."""
+        while (message := self._parser.gets()) is Ellipsis:
             try:
-                data = await self.reader.read(65536)
+                data = await self.reader.read(READ_BYTES)
             except ConnectionError:
                 return None
             if not data:
                 return None
-            self.resp.feed(data)
-        return got
+            self._parser.feed(data)
+        return message
 
     def close(self) -> None:
+        """Close the connection."""
         self.writer.close()
