--- a/tests/network/clients/test_client_connection.py
+++ b/tests/network/clients/test_client_connection.py
@@ -1,4 +1,4 @@
-"""What a client's connection answers, in which order, and how much it holds, over loopback sockets."""
+"""A client's connection: its replies, their order and the bounds on its memory, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -10,29 +10,28 @@
 from gateway.network.clients import listener as client_listener
 from gateway.network.clients.listener import ClientListener
 from tests.support.event_loop import runs_in_loop, wait_until
-from tests.support.fake_services import FakeBackend, ScriptedReply
+from tests.support.fake_services import FakeBackend, ScriptedReply, always
 from tests.support.gateway_harness import GatewayHarness, running_gateway
 from tests.support.replies import is_error, served_reply
-from tests.support.request_commands import request_command
+from tests.support.request_commands import pipelined_requests, request_command
 from tests.support.resp_peer import encode_command
 
+BULK_ARGUMENT = b"x" * 65536
+"""A large argument of `PING`, which is sent back in the reply."""
 
-class GatedBackend(FakeBackend):
-    """A backend that serves each request with its id, and none before the gate opens."""
+
+class PausedBackend(FakeBackend):
+    """A backend that serves each request with its id, and none until it is resumed."""
 
     def __init__(self) -> None:
         super().__init__(self.serve_id)
-        self.gate = asyncio.Event()
+        self.resumed = asyncio.Event()
 
     async def serve_id(self, command: list[bytes]) -> ScriptedReply:
-        await self.gate.wait()
+        await self.resumed.wait()
         return served_reply(command[2])
 
 
-async def never_reply(_command: list[bytes]) -> ScriptedReply:
-    return None
-
-
 @runs_in_loop
 async def test_replies_come_in_the_order_of_the_commands() -> None:
     second_served = asyncio.Event()
@@ -69,29 +68,28 @@
 @runs_in_loop
 async def test_a_protocol_error_ends_its_own_connection_only() -> None:
     async with running_gateway(GatewayHarness(FakeBackend())) as harness:
-        good = await harness.client()
-        bad = await harness.client()
+        rejected_client = await harness.client()
+        other_client = await harness.client()
 
-        bad.writer.write(
+        rejected_client.writer.write(
             encode_command(*request_command(b"early"))
             + b"?what\r\n"
             + encode_command(*request_command(b"late"))
         )
 
-        assert await bad.receive() == b"value"  # what came before still gets its reply
-        assert is_error(await bad.receive())
-        assert await bad.receive() is None
-        assert await harness.request(good) == b"value"
-        assert [command[2] for command in harness.backends[0].received] == [
-            b"early",
-            request_command()[2],
-        ]
+        assert (
+            await rejected_client.receive() == b"value"
+        )  # the request before the error still gets its reply
+        assert is_error(await rejected_client.receive())
+        assert await rejected_client.receive() is None
+        assert await harness.request(other_client, id=b"other") == b"value"
+        assert [command[2] for command in harness.backends[0].received] == [b"early", b"other"]
 
 
 @runs_in_loop
-async def test_what_follows_a_protocol_error_does_not_pile_up(client_listeners: list[ClientListener]) -> None:
-    """The connection stays for its earlier replies, and a client may go on writing to it."""
-    backend = GatedBackend()
+async def test_input_after_a_protocol_error_is_not_buffered(client_listeners: list[ClientListener]) -> None:
+    """The connection stays open for its earlier replies, and the client may go on writing to it."""
+    backend = PausedBackend()
     async with running_gateway(GatewayHarness(backend)) as harness:
         (listener,) = client_listeners
         peer = await harness.client()
@@ -101,17 +99,17 @@
         peer.writer.write(encode_command(*request_command(b"early")) + b"?what\r\n" + b"x" * 10_000_000)
         await wait_until(lambda: backend.received)
         assert connection.reader.is_discarding
-        await peer.writer.drain()  # read to its end, which alone would show that the client has left
+        await peer.writer.drain()  # all is read, as a disconnect could only be seen behind it
 
         assert connection.reader.buffered_bytes <= command_reader.RECEIVE_BUFFER_BYTES
-        backend.gate.set()
+        backend.resumed.set()
         assert await peer.receive() == b"early"
         assert is_error(await peer.receive())
 
 
 @runs_in_loop
 async def test_a_disconnect_cancels_the_open_request() -> None:
-    backend = FakeBackend(never_reply)
+    backend = FakeBackend(always(None))
     async with running_gateway(GatewayHarness(backend)) as harness:
         peer = await harness.client()
         peer.send(*request_command())
@@ -120,37 +118,38 @@
         peer.close()
 
         await wait_until(lambda: backend.ended)
-        # The id is free again, so nothing of the request is left.
+        # The id is free again: the request is not open any more.
         backend.script = backend.serve
         assert await harness.request(await harness.client()) == b"value"
 
 
 @runs_in_loop
 async def test_an_id_in_use_is_not_taken_twice() -> None:
-    backend = GatedBackend()
+    backend = PausedBackend()
     async with running_gateway(GatewayHarness(backend)) as harness:
         first = await harness.client()
         second = await harness.client()
         first.send(*request_command(b"same"))
         await wait_until(lambda: backend.received)
 
-        assert is_error(await harness.request(second, id=b"same"))
-
+        rejection = await harness.request(second, id=b"same")
         second.close()
-        backend.gate.set()
+        backend.resumed.set()
+
+        assert is_error(rejection)
         assert await first.receive() == b"same"
 
 
 @runs_in_loop
 async def test_too_many_pipelined_commands_wait_unread() -> None:
-    backend = GatedBackend()
+    backend = PausedBackend()
     async with running_gateway(GatewayHarness(backend)) as harness:
         peer = await harness.client()
         ids = [b"%04d" % number for number in range(reply_queue.MAX_PENDING_REPLIES * 2)]
 
-        peer.writer.write(b"".join(encode_command(*request_command(id)) for id in ids))
+        peer.writer.write(pipelined_requests(ids))
         await wait_until(lambda: backend.received)
-        backend.gate.set()
+        backend.resumed.set()
 
         replies = [await peer.receive() for _ in ids]
         served = [(id, reply) for id, reply in zip(ids, replies, strict=True) if isinstance(reply, bytes)]
@@ -162,25 +161,24 @@
 
 @runs_in_loop
 async def test_a_slow_reader_does_not_grow_memory(client_listeners: list[ClientListener]) -> None:
-    """A client that sends commands and never reads is read no further, so that its replies stay few."""
+    """No more is read from a client that does not read its replies, so that they stay few."""
     async with running_gateway(GatewayHarness(FakeBackend())) as harness:
         (listener,) = client_listeners
         peer = await harness.client()
         await wait_until(lambda: listener.connections)
         (connection,) = listener.connections
-        echo = encode_command(b"PING", b"x" * 65536)
-        written = 0
+        sent_commands = 0
 
         while connection.is_reading:
-            peer.writer.write(echo)
-            written += 1
+            peer.send(b"PING", BULK_ARGUMENT)
+            sent_commands += 1
             await asyncio.sleep(0)
 
         pending_bytes = sum(len(pending.reply or b"") for pending in connection.replies.pending)
-        held_bytes = len(connection.replies.unsent) + pending_bytes
-        assert held_bytes <= reply_queue.MAX_UNSENT_BYTES + 2 * 66_000
-        for _ in range(written):  # once it reads, it gets all of them
-            assert await peer.receive() == b"x" * 65536
+        buffered_bytes = len(connection.replies.unsent) + pending_bytes
+        assert buffered_bytes <= reply_queue.MAX_UNSENT_BYTES + 2 * 66_000
+        for _ in range(sent_commands):  # once the client reads, it receives all of them
+            assert await peer.receive() == BULK_ARGUMENT
 
 
 @runs_in_loop
@@ -196,26 +194,26 @@
         peer.writer.transport.pause_reading()  # type: ignore[attr-defined]
         await wait_until(lambda: listener.connections)
 
-        while listener.connections:  # ended by the test's time limit if it never is
-            peer.send(b"PING", b"x" * 65536)
+        while listener.connections:  # until the test's time limit, if it is not closed
+            peer.send(b"PING", BULK_ARGUMENT)
             await asyncio.sleep(0)
 
 
 @pytest.mark.parametrize(
-    "sent",
+    ("complete", "incomplete"),
     [
-        b"",
-        b"*",
-        b"*3\r\n$8\r\nAPI",
-        encode_command(*request_command(b"early")) + b"*4\r\n",
-        b"*1\r\n$65536\r\n" + b"x" * 60_000,
+        (b"", b""),
+        (b"", b"*"),
+        (b"", b"*3\r\n$8\r\nAPI"),
+        (encode_command(*request_command(b"early")), b"*4\r\n"),
+        (b"", b"*1\r\n$65536\r\n" + b"x" * 60_000),
     ],
 )
 @runs_in_loop
 async def test_a_command_incomplete_at_its_deadline_ends_its_connection(
-    monkeypatch: pytest.MonkeyPatch, sent: bytes
+    monkeypatch: pytest.MonkeyPatch, complete: bytes, incomplete: bytes
 ) -> None:
-    """Half a command, or nothing at all, would hold a descriptor for ever."""
+    """A client that sends half a command, or nothing at all, would keep a descriptor for ever."""
     monkeypatch.setattr(command_reader, "COMMAND_TIMEOUT_MS", 500.0)
     monkeypatch.setattr(client_listener, "SWEEP_INTERVAL_MS", 10.0)
 
@@ -224,10 +222,10 @@
         assert await harness.request(idle) == b"value"
         peer = await harness.client()
 
-        peer.writer.write(sent)
+        peer.writer.write(complete + incomplete)
 
-        if b"early" in sent:
+        if complete:
             assert await peer.receive() == b"value"
         assert is_error(await peer.receive())
         assert await peer.receive() is None
-        assert await harness.request(idle, id=b"later") == b"value"  # idle between commands is no offence
+        assert await harness.request(idle, id=b"later") == b"value"  # being idle between commands is allowed
--- a/tests/network/clients/test_client_endings.py
+++ b/tests/network/clients/test_client_endings.py
@@ -1,4 +1,4 @@
-"""Ways in which a client's connection ends, on real sockets, each while something is owed to the client."""
+"""Ways in which a client's connection ends, on real sockets, each while requests of the client are open."""
 
 from __future__ import annotations
 
@@ -16,47 +16,48 @@
 from tests.support.clients import as_peer, connect, connect_at_once, running_listener
 from tests.support.event_loop import runs_in_loop, wait_until
 from tests.support.manual_server import reset
-from tests.support.request_commands import request_command
+from tests.support.request_commands import pipelined_requests
 from tests.support.resp_peer import LOCAL, encode_command
 
 
 @pytest.mark.parametrize("behind", [b"", b"?what\r\n", encode_command(b"QUIT")])
 @runs_in_loop
 async def test_disconnect_behind_pipelined_requests_is_detected(behind: bytes) -> None:
-    """Its end comes behind more requests than one connection may have waiting, or behind what ended it."""
+    """It comes behind more requests than may be pending, or behind what made the connection stop reading."""
     async with running_listener() as (listener, handler, port):
         peer = await connect(port)
-        count = MAX_PENDING_REPLIES * (1 if behind else 3)
-        ids = [b"%04d" % number for number in range(count)]
-        peer.writer.write(b"".join(encode_command(*request_command(id)) for id in ids) + behind)
+        request_count = MAX_PENDING_REPLIES * (1 if behind else 3)
+        ids = [b"%04d" % number for number in range(request_count)]
+        peer.writer.write(pipelined_requests(ids) + behind)
         await wait_until(lambda: len(handler.pending) == MAX_PENDING_REPLIES)
 
         peer.close()
         await wait_until(lambda: not listener.connections)
 
         assert sorted(handler.disconnected) == sorted(handler.pending)
-        for reply in list(handler.pending.values()):  # what was read ahead is not processed any more
-            reply.complete(b"+late\r\n")
+        for pending_reply in list(handler.pending.values()):
+            pending_reply.complete(b"+late\r\n")
+        # What was read ahead is not processed any more.
         assert len(handler.pending) == MAX_PENDING_REPLIES
 
 
-def send_backlog_and_close(port: int, size: int) -> None:
-    """Write as many requests as the system takes, and close."""
+def send_backlog_and_close(port: int, byte_count: int) -> None:
+    """Send pipelined requests, as many as the system takes, and close."""
     client = socket.socket()
-    client.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4 * size)
+    client.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4 * byte_count)
     client.connect((LOCAL, port))
     client.setblocking(False)
-    commands = b"".join(encode_command(*request_command(b"%06d" % number)) for number in range(size // 100))
-    data = memoryview(commands[:size])
+    commands = pipelined_requests(b"%06d" % number for number in range(byte_count // 100))
+    unsent = memoryview(commands[:byte_count])
     with contextlib.suppress(BlockingIOError):
-        while data:
-            data = data[client.send(data) :]
+        while unsent:
+            unsent = unsent[client.send(unsent) :]
     client.close()
 
 
 @runs_in_loop
 async def test_disconnect_behind_a_large_backlog_is_detected() -> None:
-    """Unread, it is still with the client's system: no look at the socket here could tell of it."""
+    """Until the backlog is read, the disconnect has not reached this machine and cannot be polled for."""
     async with running_listener(memory_bytes=16 * 2**20) as (listener, handler, port):
         send_backlog_and_close(port, 4 * MAX_READ_AHEAD_BYTES)
         async with asyncio.timeout(5):
@@ -67,22 +68,22 @@
         assert listener.memory.read_ahead_bytes == 0
 
 
-@pytest.mark.parametrize("memory", [0, 1_000_000])
+@pytest.mark.parametrize("memory_bytes", [0, 1_000_000])
 @runs_in_loop
-async def test_read_ahead_of_one_connection_is_bounded(memory: int) -> None:
-    """By what one connection may hold, and beyond that by what all of them may together."""
-    async with running_listener(memory_bytes=memory) as (listener, handler, port):
+async def test_read_ahead_of_one_connection_is_bounded(memory_bytes: int) -> None:
+    """The bound is that of one connection, or that of all together if this is greater."""
+    async with running_listener(memory_bytes=memory_bytes) as (listener, handler, port):
         peer = await connect(port)
         ids = [b"%05d" % number for number in range(10_000)]
 
-        peer.writer.write(b"".join(encode_command(*request_command(id)) for id in ids))
+        peer.writer.write(pipelined_requests(ids))
         await wait_until(lambda: handler.pending and not next(iter(listener.connections)).is_reading)
 
         (connection,) = listener.connections
         limit = max(MAX_READ_AHEAD_BYTES, listener.memory.max_read_ahead_bytes)
         assert connection.reader.buffered_bytes == listener.memory.read_ahead_bytes
         assert limit < listener.memory.read_ahead_bytes <= limit + RECEIVE_BUFFER_BYTES
-        for id in ids:  # and all of it is answered once there is capacity
+        for id in ids:  # all of it is answered once there is capacity
             await wait_until(lambda id=id: id.decode() in handler.pending)  # type: ignore[misc]
             handler.pending[id.decode()].complete(encode_command(id))
         assert [await peer.receive() for _ in ids] == [[id] for id in ids]
@@ -94,27 +95,28 @@
 async def test_disconnect_behind_unreadable_input_is_detected(
     detected_by: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It has come as far as this machine, where all that may be read ahead is taken up."""
+    """It has reached this machine, where as much has been read ahead as the bounds allow."""
     monkeypatch.setattr(client_listener, "SWEEP_INTERVAL_MS", 20.0 if detected_by == "a sweep" else 1e9)
 
     async with running_listener(memory_bytes=0) as (listener, handler, port):
         leaving = await connect(port)
         staying = await connect(port)
-        flood = b"".join(encode_command(*request_command(b"g%04d" % number)) for number in range(1_700))
-        readable = MAX_READ_AHEAD_BYTES + RECEIVE_BUFFER_BYTES
-        assert len(flood) > readable + MAX_PENDING_REPLIES * 110
-        leaving.writer.write(flood)
-        staying.writer.write(flood.replace(b"g0", b"s0").replace(b"g1", b"s1"))
+        requests_of_leaving = pipelined_requests(b"g%04d" % number for number in range(1_700))
+        requests_of_staying = pipelined_requests(b"s%04d" % number for number in range(1_700))
+        readable_bytes = MAX_READ_AHEAD_BYTES + RECEIVE_BUFFER_BYTES
+        assert len(requests_of_leaving) > readable_bytes + MAX_PENDING_REPLIES * 110
+        leaving.writer.write(requests_of_leaving)
+        staying.writer.write(requests_of_staying)
         await wait_until(lambda: len(listener.connections) == 2)
         await wait_until(lambda: not any(connection.is_reading for connection in listener.connections))
-        replies = list(handler.pending.values())
+        pending_replies = list(handler.pending.values())
 
         leaving.close()
 
         def is_detected() -> bool:
             if detected_by == "a request":
-                for reply in replies:
-                    reply.detect_disconnect()
+                for pending_reply in pending_replies:
+                    pending_reply.detect_disconnect()
             return len(listener.connections) == 1
 
         async with asyncio.timeout(5):
@@ -122,78 +124,76 @@
         expected = [f"g{number:04}" for number in range(MAX_PENDING_REPLIES)]
         assert sorted(handler.disconnected) == expected
         for _ in range(20):
-            assert is_detected()  # the other one stays, whose requests lie as deep
+            assert is_detected()  # the other client stays connected, with as much input unread
             await asyncio.sleep(0.002)
 
 
 @runs_in_loop
 async def test_read_ahead_memory_is_freed_once_processed() -> None:
-    """Otherwise one connection after another would keep as much as all together may read ahead."""
+    """Otherwise each connection would in turn retain as much as all together may read ahead."""
     async with running_listener(memory_bytes=16 * 2**20) as (listener, handler, port):
         peer = await connect(port)
-        count = 10_000
-        peer.writer.write(
-            b"".join(encode_command(*request_command(b"%05d" % number)) for number in range(count))
-        )
+        ids = [b"%05d" % number for number in range(10_000)]
+        peer.writer.write(pipelined_requests(ids))
         await wait_until(lambda: listener.memory.read_ahead_bytes > 7 * MAX_READ_AHEAD_BYTES)
 
         handler.immediate_reply = b"-BUSY\r\n"
         (connection,) = listener.connections
-        for reply in list(handler.pending.values()):
-            reply.complete(b"-BUSY\r\n")
-        await wait_until(lambda: len(handler.pending) == count and listener.memory.read_ahead_bytes == 0)
+        for pending_reply in list(handler.pending.values()):
+            pending_reply.complete(b"-BUSY\r\n")
+        await wait_until(lambda: len(handler.pending) == len(ids) and listener.memory.read_ahead_bytes == 0)
 
-        kept = sys.getsizeof(connection.reader._parser._buffer)
-        assert kept < 2 * (COMPACTION_THRESHOLD_BYTES + RECEIVE_BUFFER_BYTES)
+        allocated_bytes = sys.getsizeof(connection.reader._parser._buffer)
+        assert allocated_bytes < 2 * (COMPACTION_THRESHOLD_BYTES + RECEIVE_BUFFER_BYTES)
 
 
 @runs_in_loop
 async def test_read_ahead_of_all_connections_is_bounded() -> None:
-    """Each may go on with its own part; one that has more goes on once others have left capacity."""
-    limit = MAX_READ_AHEAD_BYTES
-    async with running_listener(memory_bytes=8 * limit) as (listener, _handler, port):
-        flood = b"".join(encode_command(*request_command(b"%05d" % number)) for number in range(10_000))
+    """Each may read its own part ahead; one that has more reads on once others have released memory."""
+    own_limit = MAX_READ_AHEAD_BYTES
+    async with running_listener(memory_bytes=8 * own_limit) as (listener, _handler, port):
+        memory = listener.memory
+        requests = pipelined_requests(b"%05d" % number for number in range(10_000))
         first = await connect(port)
         second = await connect(port)
 
-        first.writer.write(flood)
+        first.writer.write(requests)
         await wait_until(lambda: listener.connections and not next(iter(listener.connections)).is_reading)
-        second.writer.write(flood)
+        second.writer.write(requests)
         await wait_until(lambda: len(listener.connections) == 2)
         one, other = listener.connections
         await wait_until(lambda: not one.is_reading and not other.is_reading)
 
-        assert one.reader.buffered_bytes + other.reader.buffered_bytes == listener.memory.read_ahead_bytes
-        assert (
-            listener.memory.max_read_ahead_bytes
-            < listener.memory.read_ahead_bytes
-            <= listener.memory.max_read_ahead_bytes + limit + 65536
-        )
-        assert limit < other.reader.buffered_bytes <= limit + RECEIVE_BUFFER_BYTES
+        assert one.reader.buffered_bytes + other.reader.buffered_bytes == memory.read_ahead_bytes
+        assert memory.read_ahead_bytes > memory.max_read_ahead_bytes
+        assert memory.read_ahead_bytes <= memory.max_read_ahead_bytes + own_limit + 65536
+        assert own_limit < other.reader.buffered_bytes <= own_limit + RECEIVE_BUFFER_BYTES
         one.close()
-        await wait_until(lambda: other.reader.buffered_bytes > listener.memory.max_read_ahead_bytes)
+        await wait_until(lambda: other.reader.buffered_bytes > memory.max_read_ahead_bytes)
         other.close()
-        assert listener.memory.read_ahead_bytes == 0
+        assert memory.read_ahead_bytes == 0
 
 
-@pytest.mark.parametrize("end", ["close", "reset", "end of sending"])
+@pytest.mark.parametrize("ending", ["close", "reset", "end of sending"])
 @runs_in_loop
-async def test_client_counts_as_disconnected_however_its_connection_ends(end: str) -> None:
-    """Also with replies to come; the protocol knows no other way to cancel a request."""
+async def test_client_counts_as_disconnected_however_its_connection_ends(ending: str) -> None:
+    """Also while replies are pending: the protocol has no other way to cancel a request."""
     async with running_listener() as (listener, handler, port):
-        commands = request_command(b"waits"), (b"CANCEL", b"waits"), request_command(b"too")
-        client = connect_at_once(port, b"".join(encode_command(*command) for command in commands))
+        unknown_command = encode_command(b"CANCEL", b"waits")
+        client = connect_at_once(
+            port, pipelined_requests([b"waits"]) + unknown_command + pipelined_requests([b"too"])
+        )
         await wait_until(lambda: len(handler.pending) == 2)
         assert not handler.disconnected  # no command ends a request
 
-        if end == "end of sending":
+        if ending == "end of sending":
             client.shutdown(socket.SHUT_WR)
-        elif end == "reset":
+        elif ending == "reset":
             reset(client)
         else:
             client.close()
         await wait_until(lambda: not listener.connections)
 
         assert handler.disconnected == ["waits", "too"]
-        if end == "end of sending":
+        if ending == "end of sending":
             assert await (await as_peer(client)).receive() is None
--- a/tests/network/clients/test_client_listener.py
+++ b/tests/network/clients/test_client_listener.py
@@ -1,4 +1,4 @@
-"""How a gateway bounds the connections of clients, over loopback sockets."""
+"""The bounds on all client connections of a gateway together, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -14,7 +14,6 @@
 from tests.support.event_loop import runs_in_loop, wait_until
 from tests.support.fake_services import FakeBackend
 from tests.support.gateway_harness import GatewayHarness, running_gateway
-from tests.support.resp_peer import RespPeer
 
 
 @runs_in_loop
@@ -48,18 +47,18 @@
         active = await harness.client()
         assert await harness.request(active) == b"value"
 
-        silent = [await harness.client() for _ in range(100)]
+        idle = [await harness.client() for _ in range(100)]
         late = await harness.client()
 
         assert await harness.request(late, id=b"late") == b"value"
-        # One that sent a request is not evicted for them.
+        # A connection that has sent a request is not evicted for those without one.
         assert await harness.request(active, id=b"again") == b"value"
-        for peer in silent[:50]:
+        for peer in idle[:50]:
             assert await peer.receive() is None
 
 
 class ExhaustedSocket:
-    """A listening socket that finds no descriptor left for its first few accepts."""
+    """A listening socket whose first accepts fail, as no descriptor is left."""
 
     def __init__(self, listening_socket: socket.socket, failures: int) -> None:
         self.listening_socket = listening_socket
@@ -76,7 +75,7 @@
 
 
 @runs_in_loop
-async def test_running_out_of_descriptors_is_survived(client_listeners: list[ClientListener]) -> None:
+async def test_accepting_resumes_after_descriptors_ran_out(client_listeners: list[ClientListener]) -> None:
     async with running_gateway(GatewayHarness(FakeBackend())) as harness:
         (listener,) = client_listeners
         assert listener.listening_socket is not None
@@ -90,11 +89,13 @@
 
 
 @runs_in_loop
-async def test_at_the_bound_an_unused_connection_is_evicted(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_unused_connection_is_evicted_at_the_limit_of_connections(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(client_listener, "EVICTABLE_AFTER_MS", 0.0)
 
     async with running_gateway(GatewayHarness(FakeBackend(), sockets=RESERVED_DESCRIPTORS + 5)) as harness:
-        peers: list[RespPeer] = [await harness.client() for _ in range(3)]
+        peers = [await harness.client() for _ in range(3)]
         for number, peer in enumerate(peers):
             assert await harness.request(peer, id=b"%d" % number) == b"value"
 
--- a/tests/network/clients/test_request_parser.py
+++ b/tests/network/clients/test_request_parser.py
@@ -7,7 +7,7 @@
 from gateway.network.clients.request_parser import InvalidRequestError, RequestParser
 from gateway.policy.settings import Idempotency, Plan, RequestClass
 from tests.support.event_loop import runs_in_loop
-from tests.support.fake_services import FakeBackend, ScriptedReply
+from tests.support.fake_services import FakeBackend, always
 from tests.support.gateway_harness import GatewayHarness, running_gateway
 from tests.support.policy_settings import settings
 from tests.support.replies import is_error, served_reply
@@ -17,10 +17,31 @@
 CUSTOMER = b"00000000b4d65521"
 
 
-def with_attribute(old: bytes, new: bytes, command: bytes = b"API.READ") -> tuple[bytes, ...]:
-    """A valid request but for one part of its attributes."""
-    assert old in ATTRIBUTES
-    return command, CUSTOMER, b"b", ATTRIBUTES.replace(old, new)
+INVALID_ATTRIBUTES: list[tuple[bytes, list[bytes], str]] = [
+    (b",d=480", [b""], "d is no number"),
+    (
+        b"d=480",
+        [b"d=", b"d=-3", b"d=1e3", b"d=1_0", b"d= 5", b"d=nan", b"d=inf", b"d=soon"],
+        "d is no number",
+    ),
+    (b"d=480", [b"d=0", b"d=999999999"], "time left out of range"),
+    (b"c=view", [b"c=", b"c=views", b"c=\xff"], "unknown class"),
+    (b"c=view", [b"c=wipe"], "class of another command"),
+    (b"t=free", [b"t=", b"t=golden"], "unknown plan"),
+    (b"units=1", [b"units=", b"units=-1", b"units=1_0", b"units=nan", b"units=x"], "units is no number"),
+    (b"units=1", [b"units=0", b"units=2"], "units out of range"),
+    (b"spread=1", [b"spread=", b"spread=-1", b"spread=x", b"spread=1.0"], "spread is no number"),
+    (b"spread=1", [b"spread=0", b"spread=2"], "set out of range"),
+    (b"first=0", [b"first=", b"first=-1", b"first=x"], "first is no number"),
+    (b"first=0", [b"first=1"], "set out of range"),
+]
+"""An attribute, invalid ones in its place, and the reason with which they are rejected."""
+
+
+def with_attribute(valid: bytes, invalid: bytes, command: bytes = b"API.READ") -> tuple[bytes, ...]:
+    """Return a request that is valid except for one replaced attribute."""
+    assert valid in ATTRIBUTES
+    return command, CUSTOMER, b"b", ATTRIBUTES.replace(valid, invalid)
 
 
 INVALID_COMMANDS = [
@@ -36,28 +57,14 @@
     ((b"API.READ", CUSTOMER, b"a b", ATTRIBUTES), "malformed id"),
     ((b"API.READ", CUSTOMER, b"x" * 65, ATTRIBUTES), "malformed id"),
     ((b"API.WRITE", CUSTOMER, b"b", ATTRIBUTES), "class of another command"),
-    (with_attribute(b"view", b"wipe"), "class of another command"),
-    (with_attribute(b"view", b"keyed", b"API.WRITE"), "key missing"),
-    (with_attribute(b",d=480", b""), "d is no number"),
-    *((with_attribute(b"480", new), "d is no number") for new in (b"", b"-3", b"1e3", b"1_0", b" 5")),
-    *((with_attribute(b"480", new), "d is no number") for new in (b"nan", b"inf", b"soon")),
-    *((with_attribute(b"480", new), "time left out of range") for new in (b"0", b"999999999")),
-    *((with_attribute(b"view", new), "unknown class") for new in (b"", b"views", b"\xff")),
-    *((with_attribute(b"free", new), "unknown plan") for new in (b"", b"golden")),
-    *(
-        (with_attribute(b"units=1", b"units=" + new), "units is no number")
-        for new in (b"", b"-1", b"1_0", b"nan", b"x")
-    ),
-    *((with_attribute(b"units=1", b"units=" + new), "units out of range") for new in (b"0", b"2")),
-    *(
-        (with_attribute(b"spread=1", b"spread=" + new), "spread is no number")
-        for new in (b"", b"-1", b"x", b"1.0")
-    ),
-    *((with_attribute(b"spread=1", b"spread=" + new), "set out of range") for new in (b"0", b"2")),
-    *((with_attribute(b"first=0", b"first=" + new), "first is no number") for new in (b"", b"-1", b"x")),
-    (with_attribute(b"first=0", b"first=1"), "set out of range"),
+    (with_attribute(b"c=view", b"c=keyed", b"API.WRITE"), "key missing"),
     ((b"HELLO", b"3"), "unknown command"),
     ((b"",), "unknown command"),
+    *(
+        (with_attribute(valid, invalid), reason)
+        for valid, replacements, reason in INVALID_ATTRIBUTES
+        for invalid in replacements
+    ),
 ]
 
 
@@ -80,23 +87,20 @@
 
 
 @runs_in_loop
-async def test_values_and_bodies_pass_untouched_and_backends_learn_the_remaining_time() -> None:
-    # The largest, 64 KiB. Line ends inside values would show a reply or a command that is encoded carelessly.
-    blob = bytes(range(256)) * 256
-
-    async def reply_with_blob(_command: list[bytes]) -> ScriptedReply:
-        return served_reply(blob)
-
-    async with running_gateway(GatewayHarness(FakeBackend(reply_with_blob))) as harness:
+async def test_values_and_bodies_pass_unchanged_and_backends_receive_the_remaining_time() -> None:
+    # Line ends inside the largest value would show an encoding that relies on them.
+    largest_value = bytes(range(256)) * 256
+    backend = FakeBackend(always(served_reply(largest_value)))
+    async with running_gateway(GatewayHarness(backend)) as harness:
         peer = await harness.client()
 
-        reply = await harness.request(peer, request_class=b"wipe", body=blob)
+        reply = await harness.request(peer, request_class=b"wipe", body=largest_value)
 
-        assert reply == blob
-        command, customer, request_id, attributes, body = harness.backends[0].received[0]
+        assert reply == largest_value
+        command, customer, request_id, attributes, body = backend.received[0]
         assert command == b"API.WRITE"
         assert (customer, request_id) == request_command()[1:3]
-        assert body == blob
+        assert body == largest_value
         before, name, rest = attributes.partition(b"d=")
         remaining_ms, _comma, after = rest.partition(b",")
         assert before + name == b"c=wipe,t=free,d="
--- a/tests/network/codecs/test_resp_commands.py
+++ b/tests/network/codecs/test_resp_commands.py
@@ -1,4 +1,4 @@
-"""Which bytes of clients are commands, over loopback sockets."""
+"""Which input of clients is a command, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -31,11 +31,10 @@
 async def test_many_commands_may_come_together() -> None:
     async with running_gateway(GatewayHarness(FakeBackend())) as harness:
         peer = await harness.client()
-        numbers = [b"%d" % n for n in range(100)]
+        numbers = [b"%d" % number for number in range(100)]
+        pings = b"".join(encode_command(b"PING", number) for number in numbers)
 
-        peer.writer.write(
-            b"".join(encode_command(b"PING", n) for n in numbers) + encode_command(*request_command(b"two"))
-        )
+        peer.writer.write(pings + encode_command(*request_command(b"two")))
 
         assert [await peer.receive() for _ in range(101)] == [*numbers, b"value"]
 
@@ -60,8 +59,8 @@
     ],
 )
 @runs_in_loop
-async def test_what_can_become_no_command_is_rejected_at_once(data: bytes) -> None:
-    """Not only at the end of a line that may never end, or once 60 MB have come."""
+async def test_input_that_cannot_become_a_command_is_rejected_at_once(data: bytes) -> None:
+    """The error does not wait for the end of a line that may never end, nor for 60 MB."""
     async with running_gateway(GatewayHarness(FakeBackend())) as harness:
         peer = await harness.client()
 
@@ -75,25 +74,25 @@
 @runs_in_loop
 async def test_a_command_beyond_all_bounds_ends_only_its_own_connection(data: bytes) -> None:
     async with running_gateway(GatewayHarness(FakeBackend())) as harness:
-        good = await harness.client()
-        bad = await harness.client()
+        rejected_client = await harness.client()
+        other_client = await harness.client()
 
-        bad.writer.write(data)
+        rejected_client.writer.write(data)
 
-        assert is_error(await bad.receive())
-        assert await bad.receive() is None
-        assert await harness.request(good) == b"value"
+        assert is_error(await rejected_client.receive())
+        assert await rejected_client.receive() is None
+        assert await harness.request(other_client) == b"value"
 
 
 @runs_in_loop
 async def test_many_small_commands_in_one_read_are_all_answered() -> None:
-    """Taken by calls within calls, each round of waiting commands would deepen the stack."""
+    """If each round of pending commands were processed by a nested call, the stack would overflow."""
     async with running_gateway(GatewayHarness(FakeBackend())) as harness:
         peer = await harness.client()
-        count = 60_000
+        command_count = 60_000
 
-        peer.writer.write(encode_command(b"") * count)
+        peer.writer.write(encode_command(b"") * command_count)
 
-        for _ in range(count):
+        for _ in range(command_count):
             assert is_error(await peer.receive())
         assert await harness.request(peer) == b"value"
--- a/tests/network/test_timers.py
+++ b/tests/network/test_timers.py
@@ -11,19 +11,20 @@
 
 @runs_in_loop
 async def test_timers_never_fire_early_and_keep_their_order() -> None:
-    """The policy ignores a timer that comes early, and the request it was for would never be ended."""
+    """The policy ignores a timer that fires early, and the request that it was set for would never end."""
     timers = TimerQueue(asyncio.get_running_loop())
     delays_ms = [3.4, 0.6, 2.5, 0.0, 7.7, 1.49]
     fired: list[int] = []
     early_by_ms: list[float] = []
 
-    def fire(place: int, due_ms: float) -> None:
-        fired.append(place)
+    def record_firing(index: int, due_ms: float) -> None:
+        fired.append(index)
         early_by_ms.append(due_ms - now_ms())
 
     start_ms = now_ms()
-    for place, delay_ms in enumerate(delays_ms):
-        timers.call_at(start_ms + delay_ms, partial(fire, place, start_ms + delay_ms))
+    for index, delay_ms in enumerate(delays_ms):
+        due_ms = start_ms + delay_ms
+        timers.call_at(due_ms, partial(record_firing, index, due_ms))
     await wait_until(lambda: len(fired) == len(delays_ms))
 
     assert fired == [3, 1, 5, 2, 0, 4]
@@ -31,22 +32,23 @@
 
 
 @runs_in_loop
-async def test_cancelled_timer_is_silent_and_wakes_nobody() -> None:
+async def test_cancelled_timer_does_not_fire_and_is_dropped() -> None:
     timers = TimerQueue(asyncio.get_running_loop())
     fired: list[str] = []
     start_ms = now_ms()
 
-    timers.call_at(start_ms + 5, lambda: fired.append("cancelled")).cancel()
-    timers.call_at(start_ms + 10, lambda: fired.append("kept"))
+    cancelled = timers.call_at(start_ms + 5, lambda: fired.append("cancelled"))
+    timers.call_at(start_ms + 10, lambda: fired.append("other"))
+    cancelled.cancel()
     await wait_until(lambda: fired)
 
-    assert fired == ["kept"]
+    assert fired == ["other"]
     assert not timers._heap
 
 
 @runs_in_loop
 async def test_timer_made_by_a_callback_waits_for_the_event_loop_s_next_turn() -> None:
-    """Else a callback that is due again at once would keep all else from running."""
+    """Otherwise a timer that is due again at once would keep everything else from running."""
     loop = asyncio.get_running_loop()
     timers = TimerQueue(loop)
     order: list[str] = []
--- a/tests/support/request_commands.py
+++ b/tests/support/request_commands.py
@@ -2,6 +2,10 @@
 
 from __future__ import annotations
 
+from collections.abc import Iterable
+
+from tests.support.resp_peer import encode_command
+
 
 def request_command(  # noqa: PLR0913 - a test names the attributes that it is about
     id: bytes = b"9b1f03aa5c7e2d41",
@@ -15,7 +19,7 @@
     idempotency_key: bytes | None = None,
     command: bytes | None = None,
 ) -> tuple[bytes, ...]:
-    """The arguments of a request command, by default of an idempotent class without a quota."""
+    """Return the arguments of a request command, by default of an idempotent class without a quota."""
     key_attribute = b"" if idempotency_key is None else b",k=" + idempotency_key
     attributes = b"c=%b,t=%b,d=%d%b,units=1,spread=%d,first=0" % (
         request_class,
@@ -28,3 +32,8 @@
         command = b"API.READ" if request_class == b"view" else b"API.WRITE"
     arguments = (command, customer, id, attributes)
     return arguments if body is None else (*arguments, body)
+
+
+def pipelined_requests(ids: Iterable[bytes]) -> bytes:
+    """Return encoded request commands, one after another."""
+    return b"".join(encode_command(*request_command(id)) for id in ids)
