--- a/tests/scale/test_scale.py
+++ b/tests/scale/test_scale.py
@@ -123,7 +123,7 @@
     """Copy the program to a checkout that takes much longer over each change of the endpoint list."""
     ignored = shutil.ignore_patterns("__pycache__")
     shutil.copytree(ROOT / "gateway", checkout / "gateway", ignore=ignored)
-    dispatcher = checkout / "gateway" / "network" / "dispatcher.py"
+    dispatcher = checkout / "gateway" / "network" / "dispatcher" / "dispatcher.py"
     dispatcher.write_text(dispatcher.read_text() + SLOWER_DISPATCHER)
     return checkout
 
