--- a/gateway/policy/backend_table.py
+++ b/gateway/policy/backend_table.py
@@ -1,4 +1,4 @@
-"""The backends that this gateway uses, and others that it has used. Nothing here decides a request."""
+"""The backends that this gateway uses, and others that it has used, with their scores."""
 
 import random
 
@@ -7,7 +7,8 @@
 from .settings import DeduplicationScope, Idempotency, Settings
 from .subsetting import EndpointSubset
 
-MAX_KNOWN_OUTSIDE = 512  # backends outside the subset whose scores are kept
+MAX_KNOWN_OUTSIDE = 512
+"""Backends outside the subset whose scores are kept."""
 
 
 class BackendTable:
@@ -18,11 +19,11 @@
             c.idempotency is Idempotency.WITH_KEY and c.deduplication_scope is DeduplicationScope.CELL
             for c in settings.request_classes
         )
-        self.known: dict[int, Backend] = {}  # those of the subset, and others that were sent to
+        self.known: dict[int, Backend] = {}  # the subset, and others that got attempts
         self.endpoints = EndpointSubset(settings.gateway_index, settings.gateway_count, self._use, uses_cells)
 
     def apply(self, update: EndpointUpdate) -> None:
-        """Take in an update of the endpoint list."""
+        """Apply an update of the endpoint list."""
         self.endpoints.apply(update)
         for entry in update.endpoints:
             if entry.state is EndpointState.REMOVED:
--- a/gateway/policy/ring.py
+++ b/gateway/policy/ring.py
@@ -10,8 +10,11 @@
 
 from .endpoint_records import CELL_BYTES, SERIAL_BYTES, Record
 
-HASH_SIZE = 8  # bytes of the hash, or of the serial number, that begins a sort key
-ID_SIZE = 8  # bytes of the backend id that ends it
+HASH_SIZE = 8
+"""Bytes of the hash, or of the serial number, that begins a sort key."""
+
+ID_SIZE = 8
+"""Bytes of the backend id that ends a sort key."""
 
 
 class Window(NamedTuple):
@@ -85,8 +88,20 @@
 
 @dataclass(slots=True)
 class Rebuild:
-    """A ring in the making; changes that come meanwhile are made in it, not in the ring in force."""
+    """A ring that is being built; changes that come meanwhile are made in it, not in the ring in force."""
 
     ring: Ring
-    backend_ids: list[int]  # all that were listed at its start
-    done_count: int = 0
+    backend_ids: list[int]
+    """All that were listed when it began."""
+    taken_count: int = 0
+
+    def take_next(self, limit: int) -> list[int]:
+        """The next backends to add, `limit` of them at most; each is returned once."""
+        start = self.taken_count
+        self.taken_count = start + limit
+        return self.backend_ids[start : start + limit]
+
+    @property
+    def is_complete(self) -> bool:
+        """Whether all backends have been taken."""
+        return self.taken_count >= len(self.backend_ids)
--- a/gateway/policy/subsetting.py
+++ b/gateway/policy/subsetting.py
@@ -2,8 +2,12 @@
 
 Deterministic subsetting, after "Load Balancing in the Datacenter" in Site Reliability Engineering: each round
 of gateways divides a permutation of the ready backends, which covers them evenly, and the subset is a window
-on it. More than `MAX_CHANGES_AT_ONCE` changes are made in steps; until the last one the window only loses
-backends, draining or removed: a half-built ring chooses none.
+on it (a `Ring` holds the permutation). A gateway so keeps connections to few backends, and each backend gets
+its load from enough gateways.
+
+More than `MAX_CHANGES_AT_ONCE` changes are made in steps, with other events handled in between. Until the
+last step the window only loses backends that drain or are removed: no backend is chosen by an incomplete
+ring.
 """
 
 from __future__ import annotations
@@ -17,11 +21,21 @@
 from .events import Endpoint, EndpointState, EndpointUpdate, UpdateKind
 from .ring import Rebuild, Ring, Window
 
-SUBSET_SIZE = 8  # backends that a gateway uses at least, if so many are ready
-MIN_GATEWAYS_PER_BACKEND = 8  # that use it, so that its load does not come from a few gateways
-MAX_CHANGES_AT_ONCE = 512  # backends whose position may be worked out with no other event in between
-REBUILD_STEP = 128  # backends added to a new ring in one step, well under a millisecond's work
-MAX_SAMPLE_SIZE = 512  # backends looked at for one request outside the subset
+SUBSET_SIZE = 8
+"""Backends that a gateway uses at least, if so many are ready."""
+
+MIN_GATEWAYS_PER_BACKEND = 8
+"""Gateways that use each backend at least, so that its load does not depend on the demand at a few of
+them."""
+
+MAX_CHANGES_AT_ONCE = 512
+"""Backends whose position may be computed without handling other events in between."""
+
+REBUILD_STEP = 128
+"""Backends added to a new ring in one step, which takes well under a millisecond."""
+
+MAX_SAMPLE_SIZE = 512
+"""Backends considered for one request outside the subset."""
 
 BackendT = TypeVar("BackendT")
 
@@ -70,7 +84,7 @@
         Of a part, changes of listed backends are in force at once, new and missing backends with the last.
         """
         if update.kind is UpdateKind.DELTA:
-            self._pending = None  # a snapshot that broke off
+            self._pending = None  # a snapshot that is incomplete will not be completed
             for endpoint in update.endpoints:
                 self._apply_change(endpoint)
             self._correct_window()
@@ -91,10 +105,9 @@
         rebuild = self._rebuild
         if rebuild is None:
             return
-        for backend_id in rebuild.backend_ids[rebuild.done_count : rebuild.done_count + limit]:
+        for backend_id in rebuild.take_next(limit):
             self._add_if_ready(backend_id)
-        rebuild.done_count += limit
-        if rebuild.done_count < len(rebuild.backend_ids):
+        if not rebuild.is_complete:
             return
         self.ring = rebuild.ring
         self._rebuild = None
