--- a/gateway/policy/backends.py
+++ b/gateway/policy/backends.py
@@ -1,4 +1,4 @@
-"""The backends as this gateway has seen them. Nothing here decides anything."""
+"""The backends as this gateway has seen them: their attempts in flight and their outlier scores."""
 
 from collections import defaultdict
 from dataclasses import dataclass, field
@@ -8,24 +8,33 @@
 
 @dataclass(slots=True, eq=False)
 class Score:
-    """An exponentially fading value; whoever reads it says how fast it fades."""
+    """A level that decays exponentially from its last update; who reads it knows the time constant."""
 
     level: float = 0.0
     updated_at: float = 0.0
 
+    def update(self, now: float, level: float) -> None:
+        """Set the level; it decays from now on."""
+        self.level = level
+        self.updated_at = now
+
 
 @dataclass(slots=True, eq=False)
 class BackendScores:
     """What `OutlierDetector` has seen of one process of a backend."""
 
-    excess_latency: Score = field(default_factory=Score)  # milliseconds above the typical latency
-    failures: Score = field(default_factory=Score)  # part of all requests that fail, from 0 to 1
+    excess_latency: Score = field(default_factory=Score)
+    """Milliseconds above the typical latency."""
+    failures: Score = field(default_factory=Score)
+    """Fraction of all requests that fail, from 0 to 1."""
     by_class: defaultdict[str, Score] = field(default_factory=lambda: defaultdict(Score))
+    """Likewise, of the requests of a class."""
     by_plan: defaultdict[str, Score] = field(default_factory=lambda: defaultdict(Score))
+    """Likewise, of the requests of a plan's customers."""
 
 
 class Backend:
-    """One backend as this gateway has seen it; `RetryController` counts its attempts in flight."""
+    """One backend as this gateway has seen it."""
 
     __slots__ = ("cell", "id", "in_flight", "scores", "started_at", "zone")
 
@@ -35,9 +44,17 @@
         self.started_at = -1.0  # of its process
         self.update(entry)
 
+    def begin_attempt(self) -> None:
+        """Count an attempt in flight."""
+        self.in_flight += 1
+
+    def end_attempt(self) -> None:
+        """Count an attempt that is no longer in flight."""
+        self.in_flight -= 1
+
     def update(self, entry: Endpoint) -> None:
-        """Take in a new entry of the endpoint list."""
-        if entry.started_at != self.started_at:  # a new process: scores of the old one say nothing of it
+        """Take over a new entry of the endpoint list; a new process starts without scores."""
+        if entry.started_at != self.started_at:
             self.scores = BackendScores()
         self.zone = entry.zone
         self.cell = entry.cell
--- /dev/null
+++ b/gateway/policy/endpoint_updates.py
@@ -0,0 +1,48 @@
+"""Applies updates of the endpoint list.
+
+A long list is ordered in steps, each on a timer without delay, so that other events are handled in between.
+"""
+
+from .actions import Actions, SetTimer, WatchEndpoints
+from .admission import AdmissionController
+from .backend_table import BackendTable
+from .events import EndpointUpdate, UpdateKind
+from .settings import Settings
+from .timers import TimerKind, TimerToken
+
+
+class EndpointUpdateHandler:
+    """Hands updates of the endpoint list to the backend table and the admission control."""
+
+    def __init__(self, settings: Settings, backends: BackendTable, admission: AdmissionController) -> None:
+        self.backends = backends
+        self.admission = admission
+        self.polls_endpoints = settings.polls_endpoints
+        self.watch_retry_ms = settings.safety_rules.drain_grace_ms
+        self.has_rebuild_timer = False
+
+    def start(self, actions: Actions) -> None:
+        """Open the watch with the first event, unless a local agent pushes the list."""
+        if self.polls_endpoints:
+            actions.append(WatchEndpoints())
+
+    def on_update(self, _now: float, update: EndpointUpdate, actions: Actions) -> None:
+        """Apply an update; when the watch has failed, the last list stays in force and it is opened again."""
+        if update.kind is UpdateKind.WATCH_FAILED:
+            actions.append(SetTimer(self.watch_retry_ms, TimerToken(TimerKind.WATCH_ENDPOINTS)))
+            return
+        self.backends.apply(update)
+        self.admission.set_backend_count(len(self.backends.endpoints.records))
+        self._schedule_rebuild(actions)
+
+    def on_rebuild_timer(self, actions: Actions) -> None:
+        """Do the next step of ordering a long list."""
+        self.has_rebuild_timer = False
+        self.backends.endpoints.continue_rebuild()
+        self._schedule_rebuild(actions)
+
+    def _schedule_rebuild(self, actions: Actions) -> None:
+        """Let waiting events be handled before the next step."""
+        if self.backends.endpoints.is_rebuilding and not self.has_rebuild_timer:
+            self.has_rebuild_timer = True
+            actions.append(SetTimer(0.0, TimerToken(TimerKind.BUILD_ORDER)))
--- a/gateway/policy/load_balancing.py
+++ b/gateway/policy/load_balancing.py
@@ -1,4 +1,4 @@
-"""The choice of a backend: by cost with chance, and slow start for those that are warming up."""
+"""The choice of a backend: randomized by cost, with slow start for backends that are warming up."""
 
 import random
 from dataclasses import dataclass
@@ -7,12 +7,20 @@
 from .backends import Backend
 from .outlier_detection import FAILURE_COST, OutlierDetector
 from .requests import PendingRequest
-from .settings import DeduplicationScope, Idempotency, SafetyRules
+from .retry_safety import may_run_on, must_not_run_again, required_cell
+from .settings import SafetyRules
 
-CHANCE_EXPONENT = 0.25  # how far chance spreads the choice: half the cost is chosen sixteen times as often
-MAX_SCORED = 64  # the largest subset that each choice weighs whole ...
-SAMPLE_SIZE = 32  # ... and the backends that are drawn of a larger one
-MAX_WARMING_FAILURES = 0.5  # failure probability from which a backend that is warming up is not chosen
+CHANCE_EXPONENT = 0.25
+"""Exponent of the random factor of a cost: a backend at half the cost is chosen sixteen times as often."""
+
+MAX_SCORED = 64
+"""Backends of the largest subset in which each choice computes the cost of all."""
+
+SAMPLE_SIZE = 32
+"""Backends drawn at random from a larger subset, whose costs are computed."""
+
+MAX_WARMING_FAILURES = 0.5
+"""Failure probability from which a backend that is warming up is not chosen."""
 
 
 @dataclass(slots=True, eq=False)
@@ -25,11 +33,11 @@
     outliers: OutlierDetector
 
     def pick(self, now: float, request: PendingRequest) -> Backend | None:
-        """Choose a backend by chance, cheap ones far more often; one that is warming up by its own chance."""
+        """Draw a backend, those of low cost far more often; one that is warming up by a draw of its own."""
         candidates = self.backends.endpoints.backends
         if len(candidates) > MAX_SCORED:
             candidates = self.rng.sample(candidates, SAMPLE_SIZE)
-        allowed = [b for b in candidates if request.may_run_on(now, b)]
+        allowed = [b for b in candidates if may_run_on(now, request, b)]
         allowed = allowed or self.fallback_candidates(now, request)
         warm = [b for b in allowed if self.slow_start_fraction(now, b) >= 1]
         if len(warm) < len(allowed) and not (request.possibly_run and warm):
@@ -41,23 +49,25 @@
         return warm[costs.index(min(costs))] if warm else None
 
     def _draw_warming(self, now: float, request: PendingRequest, allowed: list[Backend]) -> Backend | None:
-        """A backend that is warming up, if chance selects it.
+        """A backend that is warming up, if it is drawn.
 
-        Danger: sent more than it can do by all gateways together, a warming backend falls over. Each gateway
-        gives it an even part of its own requests times less than the least it can do, so that the sum over
-        all gateways stays under that part of a warm one's load; twice, as one long request is much of it.
-        Retries come of many gateways at once, where many backends are slow: those go to warm ones.
+        Slow start must bound the fleet's total: a warming backend fails above `overload_multiple` times its
+        present capacity, whichever gateways send the load. So each gateway sends it an even part of its own
+        requests, scaled by its least capacity, and while that is small scaled down once more, as one long
+        request is then much of it: the sum over all gateways stays under that fraction of a warm backend's
+        load. Retries come from many gateways at once where many backends are slow; they go to warm backends
+        if there are any.
         """
         backend = self.rng.choice(allowed)
         fraction = self.slow_start_fraction(now, backend)
-        part = fraction * min(1.0, fraction * self.rules.overload_multiple / 2)
-        if fraction >= 1 or self.rng.random() >= part:
+        probability = fraction * min(1.0, fraction * self.rules.overload_multiple / 2)
+        if fraction >= 1 or self.rng.random() >= probability:
             return None
-        failing = self.outliers.failure_probability(now, backend, request)
-        return backend if failing < MAX_WARMING_FAILURES else None
+        failure_probability = self.outliers.failure_probability(now, backend, request)
+        return backend if failure_probability < MAX_WARMING_FAILURES else None
 
     def slow_start_fraction(self, now: float, backend: Backend) -> float:
-        """The least part of its full capacity that a backend surely has, from 0 to 1."""
+        """The least fraction of its full capacity that a backend is sure to have, from 0 to 1."""
         if backend.started_at <= 0:
             return 1.0
         rules = self.rules
@@ -65,19 +75,14 @@
         return min(1.0, rules.initial_capacity + (1 - rules.initial_capacity) * age)
 
     def cost(self, now: float, backend: Backend, request: PendingRequest) -> float:
-        """What a response should take here, judged by responses, failures and silence alike."""
+        """Milliseconds that a response should take here, with its queue and the risk of a failure."""
         latency_ms = self.outliers.expected_latency(now, backend)
-        failing = self.outliers.failure_probability(now, backend, request)
-        return latency_ms * (1 + FAILURE_COST * failing) * (backend.in_flight + 1)
+        failure_probability = self.outliers.failure_probability(now, backend, request)
+        return latency_ms * (1 + FAILURE_COST * failure_probability) * (backend.in_flight + 1)
 
     def fallback_candidates(self, now: float, request: PendingRequest) -> list[Backend]:
         """Backends outside the subset, for a request that none of the subset may serve."""
-        request_class = request.request_class
-        cell = None
-        if request.possibly_run and request_class.idempotency is Idempotency.UNSAFE:
+        if must_not_run_again(request):
             return []
-        has_key = request_class.idempotency is Idempotency.WITH_KEY
-        if request.possibly_run and has_key and request_class.deduplication_scope is DeduplicationScope.CELL:
-            first = request.possibly_run[0].backend
-            cell = (first.zone, first.cell)
-        return [b for b in self.backends.sample_outside(self.rng, cell) if request.may_run_on(now, b)]
+        outside = self.backends.sample_outside(self.rng, required_cell(request))
+        return [b for b in outside if may_run_on(now, request, b)]
--- a/gateway/policy/quota_counter.py
+++ b/gateway/policy/quota_counter.py
@@ -58,19 +58,26 @@
         total = response.total
         match call:
             case RefreshLease() | CarryOverLeaseDebt():
-                self.lease_refresher.on_total(now, lease, call, total, actions)
+                self.lease_refresher.on_total(now, lease, call=call, total=total, actions=actions)
             case ReadLeaseDebt():
-                self.lease_refresher.on_debt_read(now, lease, call, total, actions)
+                self.lease_refresher.on_debt_read(now, lease, call=call, total=total, actions=actions)
             case CorrectTotal():
                 self.bucket_reader.on_corrected(lease, call, total, actions)
             case ReadSharedBucket() if request is not None:
-                is_decidable = self.bucket_reader.on_total(now, request, call, total, actions)
+                is_decidable = self.bucket_reader.on_total(
+                    now, request, call=call, total=total, actions=actions
+                )
                 return request if is_decidable else None
             case ReadBucketDebt() if request is not None:
-                self.bucket_reader.on_debt_read(now, request, call, total, actions)
+                self.bucket_reader.on_debt_read(now, request, call=call, total=total, actions=actions)
                 return request
         return None
 
+    def on_report_timer(self, now: float, customer: str, actions: Actions) -> None:
+        """Report a customer's usage, if the customer is still known."""
+        if lease := self.leases.by_customer.get(customer):
+            self.usage.on_report_timer(now, lease, actions)
+
     def _waiting_request(self, call: CounterCall) -> PendingRequest | None:
         """The request that still waits for a call; None once it has been forwarded or finished."""
         if not isinstance(call, ReadSharedBucket | ReadBucketDebt):
--- a/gateway/policy/response_stats.py
+++ b/gateway/policy/response_stats.py
@@ -5,44 +5,61 @@
 
 from .events import Outcome
 
-TYPICAL_SAMPLES = 40.0  # responses that the typical latency is the mean of
-MAX_LATENCY_RATIO = 9.0  # typical latencies that a sample counts for at most, and a healthy backend may take
-RECENT_WEIGHT = 0.12  # least weight of one response in the recent latency
-RECENT_MEMORY_MS = 4_000.0  # the recent latency fades to a third in this time
-RATE_MEMORY_MS = 800.0  # memory of the response rate: steady, yet quick to follow a shift
-GIVEN_UP = (Outcome.TIMED_OUT, Outcome.CANCELLED)  # by this gateway or the client: the work took longer yet
+TYPICAL_SAMPLES = 40.0
+"""Responses of which the typical latency is the moving mean."""
+
+MAX_LATENCY_RATIO = 9.0
+"""Typical latencies that a sample counts for at most, and that a response of a healthy backend may take."""
+
+RECENT_WEIGHT = 0.12
+"""Least weight of one response in the recent latency."""
+
+RECENT_MEMORY_MS = 4_000.0
+"""Time constant with which the recent latency decays."""
+
+RATE_MEMORY_MS = 800.0
+"""Time constant of the response rate."""
+
+ABANDONED = (Outcome.TIMED_OUT, Outcome.CANCELLED)
+"""Outcomes of attempts that the gateway or the client stopped waiting for: the backend would have taken
+longer."""
 
 
 @dataclass(slots=True, eq=False)
 class ResponseStats:
     """Typical and recent latency in milliseconds, and successful responses a second, as last updated."""
 
-    typical_ms: float = 0.0  # 0 until the first response, as the next
+    typical_ms: float = 0.0
+    """0 until the first response."""
     recent_ms: float = 0.0
+    """0 until the first response."""
     recent_at: float = 0.0
     sample_count: float = 0.0
     response_rate: float = 0.0
     responded_at: float = 0.0
 
-    def cap(self, latency_ms: float) -> float:
-        """A latency as far as it counts as a sample.
+    def start(self, now: float) -> None:
+        """Begin with the first event, from which on the response rate decays."""
+        self.responded_at = now
 
-        Danger: one attempt lost on the way would look like a backend slow beyond use.
-        """
+    def cap(self, latency_ms: float) -> float:
+        """A latency, bounded so that one attempt that was lost does not make a backend look slow."""
         return min(latency_ms, MAX_LATENCY_RATIO * self.typical_ms) if self.typical_ms else latency_ms
 
     def recent_latency(self, now: float) -> float:
-        """The recent latency in milliseconds, fading while nothing responds."""
+        """The recent latency in milliseconds, which decays while there are no responses."""
         return max(1.0, self.recent_ms * math.exp((self.recent_at - now) / RECENT_MEMORY_MS))
 
     def rate(self, now: float) -> float:
-        """Successful responses a second, fading while there are none."""
+        """Successful responses a second, a rate that decays while there are none."""
         return self.response_rate * math.exp((self.responded_at - now) / RATE_MEMORY_MS)
 
     def record(self, now: float, latency_ms: float, outcome: Outcome) -> None:
-        """Take in the latency of an attempt that was successful or given up."""
+        """Record the latency of an attempt that was successful or abandoned."""
         if outcome is Outcome.OK or latency_ms > self.recent_ms:
-            # Danger: old responses outweigh few new ones, and rejections stay. Logarithms, as few are long.
+            # The weight grows with the time since the last response: with few responses, old ones would
+            # otherwise keep the latency high, and requests rejected. The mean is geometric, as latencies are
+            # skewed.
             weight = max(RECENT_WEIGHT, 1 - math.exp((self.recent_at - now) / RECENT_MEMORY_MS))
             before = self.recent_ms or latency_ms
             self.recent_ms = before * (latency_ms / before) ** weight
--- a/gateway/policy/retries.py
+++ b/gateway/policy/retries.py
@@ -10,11 +10,17 @@
 from .load_balancing import LoadBalancer
 from .outlier_detection import OutlierDetector
 from .requests import Attempt, PendingRequest
+from .retry_safety import retry_window_end
 from .settings import Idempotency, Settings
 
-RETRIES_PER_REQUEST = 0.15  # that a request adds to the budget ...
-CALM_RETRIES_PER_REQUEST = 0.6  # ... and while capacity is clearly spare
-MAX_RETRY_BUDGET = 10.0  # retries that the budget holds at most
+RETRIES_PER_REQUEST = 0.15
+"""Retries that each request adds to the budget."""
+
+SPARE_RETRIES_PER_REQUEST = 0.6
+"""Retries that each request adds to the budget while there is spare capacity."""
+
+MAX_RETRY_BUDGET = 10.0
+"""Retries that the budget holds at most."""
 
 
 @dataclass(slots=True, eq=False)
@@ -28,24 +34,20 @@
     budget: float = MAX_RETRY_BUDGET
     attempts: dict[tuple[str, int], Attempt] = field(default_factory=dict)  # in flight, the oldest first
 
-    def earn(self, *, is_calm: bool) -> None:
+    def earn(self, *, has_spare_capacity: bool) -> None:
         """Add to the budget for a request that has arrived."""
-        earned = CALM_RETRIES_PER_REQUEST if is_calm else RETRIES_PER_REQUEST
+        earned = SPARE_RETRIES_PER_REQUEST if has_spare_capacity else RETRIES_PER_REQUEST
         self.budget = min(MAX_RETRY_BUDGET, self.budget + earned)
 
-    def start(self, now: float, request: PendingRequest, backend: Backend, out: Actions) -> None:
+    def start(self, now: float, request: PendingRequest, backend: Backend, actions: Actions) -> None:
         """Start an attempt of a request at a backend."""
         self.backends.remember(backend)
-        backend.in_flight += 1
+        backend.begin_attempt()
         request.lease.begin_attempt()
+        actions.append(StartAttempt(request.id, backend.id, start_before=retry_window_end(request)))
         number = request.attempt_count
-        out.append(StartAttempt(request.id, backend.id, start_before=request.retry_window_end()))
-        attempt = self.attempts[request.id, number] = Attempt(request, backend, now)
-        request.live_attempts.add(number)
-        request.possibly_run.append(attempt)
-        request.tried_backend_ids.add(backend.id)
-        request.attempt_count = number + 1
-        request.schedule_check(now, now + self.outliers.attempt_timeout(now, attempt), out)
+        attempt = self.attempts[request.id, number] = request.begin_attempt(now, backend)
+        request.schedule_check(now, now + self.outliers.attempt_timeout(now, attempt), actions)
 
     def end(self, now: float, event: AttemptEnded) -> Attempt | None:
         """Record the end of an attempt; None if it is not known."""
@@ -53,37 +55,36 @@
         if attempt is None:
             return None
         request = attempt.request
-        attempt.backend.in_flight -= 1
+        attempt.backend.end_attempt()
         request.lease.end_attempt()
-        request.live_attempts.remove(event.attempt_number)
-        if event.outcome in NOT_PROCESSED:
-            request.possibly_run.remove(attempt)
+        may_have_run = event.outcome not in NOT_PROCESSED
+        request.end_attempt(event.attempt_number, attempt, may_have_run=may_have_run)
         self.outliers.record_outcome(now, attempt, event.outcome)
         return attempt
 
-    def retry(self, now: float, request: PendingRequest, out: Actions, price: float) -> bool:
+    def retry(self, now: float, request: PendingRequest, actions: Actions, price: float) -> bool:
         """Start another attempt if one can be in time and the budget holds its price."""
         backend = self._pick_for_retry(now, request, price)
         if backend is None:
             return False
         self.budget -= price
-        self.start(now, request, backend, out)
+        self.start(now, request, backend, actions)
         return True
 
-    def check_overdue(self, now: float, request: PendingRequest, out: Actions) -> None:
-        """Hedge an attempt that is in flight far longer than usual, or cancel it: its end brings the next."""
-        request.schedule_check(now, math.inf, out)
+    def check_overdue(self, now: float, request: PendingRequest, actions: Actions) -> None:
+        """Hedge an attempt that takes far longer than usual, or cancel it, which leads to a retry."""
+        request.schedule_check(now, math.inf, actions)
         if len(request.live_attempts) != 1 or request.request_class.idempotency is Idempotency.UNSAFE:
             return
         if self.settings.hedging_allowed:
-            self.retry(now, request, out, price=1.0)
+            self.retry(now, request, actions, price=1.0)
         elif self._pick_for_retry(now, request, price=1.0):
-            self.cancel_all(request, out)
+            self.cancel_all(request, actions)
 
-    def cancel_all(self, request: PendingRequest, out: Actions) -> None:
+    def cancel_all(self, request: PendingRequest, actions: Actions) -> None:
         """Cancel the attempts of a request that are in flight."""
         if self.settings.cancellation_supported:
-            out.extend([CancelAttempt(request.id, number) for number in request.live_attempts])
+            actions.extend([CancelAttempt(request.id, number) for number in request.live_attempts])
 
     def _pick_for_retry(self, now: float, request: PendingRequest, price: float) -> Backend | None:
         is_in_time = now + self.outliers.stats.typical_ms < request.objective_at
--- /dev/null
+++ b/gateway/policy/retry_safety.py
@@ -0,0 +1,70 @@
+"""When a request may run twice: its idempotency, and the scope in which backends drop a repeated key.
+
+An attempt may have run although no response came. A second effect of a request must not happen, so another
+attempt may only go where it is harmless:
+
+- an idempotent request may run anywhere, any number of times; - a request with an idempotency key may be sent
+again to the backends that would recognise the key of the first attempt, until a little before their
+deduplication window ends; - an unsafe request is never sent again.
+"""
+
+import math
+
+from .backends import Backend
+from .requests import PendingRequest
+from .settings import DeduplicationScope, Idempotency
+
+DEDUPLICATION_MARGIN_MS = 50.0
+"""A retry begins at least this long before the deduplication window ends, for its way to the backend."""
+
+
+def is_safe_to_resend(request: PendingRequest) -> bool:
+    """Whether the client may send the request again without any risk of a second effect."""
+    if not request.possibly_run:
+        return True
+    idempotency = request.request_class.idempotency
+    is_key_known_to_all = request.request_class.deduplication_scope is DeduplicationScope.ALL
+    is_repeat_dropped = idempotency is Idempotency.WITH_KEY and is_key_known_to_all
+    return idempotency is Idempotency.IDEMPOTENT or is_repeat_dropped
+
+
+def retry_window_end(request: PendingRequest) -> float:
+    """When a retry must have begun, so that backends still drop it if the first attempt has run."""
+    if request.request_class.idempotency is not Idempotency.WITH_KEY or not request.possibly_run:
+        return math.inf
+    first = request.possibly_run[0]
+    return first.started_at + request.request_class.deduplication_window_ms - DEDUPLICATION_MARGIN_MS
+
+
+def may_run_on(now: float, request: PendingRequest, backend: Backend) -> bool:
+    """Whether the next attempt may go to a backend, given which attempts may have run."""
+    if backend.id in request.tried_backend_ids:
+        return False
+    idempotency = request.request_class.idempotency
+    if not request.possibly_run or idempotency is Idempotency.IDEMPOTENT:
+        return True
+    if idempotency is Idempotency.UNSAFE or now >= retry_window_end(request):
+        return False
+    scope = request.request_class.deduplication_scope
+    first = request.possibly_run[0].backend
+    is_same_zone = first.zone == backend.zone
+    is_in_scope = is_same_zone and (scope is DeduplicationScope.ZONE or first.cell == backend.cell)
+    return scope is DeduplicationScope.ALL or is_in_scope
+
+
+def must_not_run_again(request: PendingRequest) -> bool:
+    """Whether no backend may get another attempt."""
+    return bool(request.possibly_run) and request.request_class.idempotency is Idempotency.UNSAFE
+
+
+def required_cell(request: PendingRequest) -> tuple[str, int] | None:
+    """The zone and cell in which the next attempt has to run; None if it may run in more than one cell."""
+    request_class = request.request_class
+    if (
+        not request.possibly_run
+        or request_class.idempotency is not Idempotency.WITH_KEY
+        or request_class.deduplication_scope is not DeduplicationScope.CELL
+    ):
+        return None
+    first = request.possibly_run[0].backend
+    return first.zone, first.cell
--- a/gateway/policy/shared_bucket_reads.py
+++ b/gateway/policy/shared_bucket_reads.py
@@ -80,7 +80,7 @@
             lease = request.lease
             self.calls.send(lease, ReadBucketDebt(lease.key, call.period - 1, request.id), actions)
             return False
-        self._take_level(now, request, call.period, total, actions)
+        self._take_level(now, request, period=call.period, total=total, actions=actions)
         return True
 
     def on_debt_read(
@@ -95,7 +95,8 @@
         if debt > 0:
             units = round(debt, UNIT_DECIMALS)
             self.calls.send(lease, CarryOverBucketDebt(lease.key, period, units), actions)
-        self._take_level(now, request, period, debt + request.reported_cost, actions)
+        total = debt + request.reported_cost
+        self._take_level(now, request, period=period, total=total, actions=actions)
 
     def on_corrected(self, lease: Lease, call: CorrectTotal, total: float, actions: Actions) -> None:
         """Undo a correction if another gateway has made it, too."""
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -63,7 +63,7 @@
 
 def test_a_request_with_a_key_is_not_retried_after_its_deduplication_window() -> None:
     w = world(entry(1, cell=0), entry(3, cell=0))
-    w.gateway.request_classes["order"] = RequestClass(
+    w.gateway.lifecycle.request_classes["order"] = RequestClass(
         "order", 5000, 9000, 1, Idempotency.WITH_KEY, DeduplicationScope.CELL, 2000
     )
     first = only_attempt_in(w.ask("order", life=9000))
