--- a/gateway/policy/actions.py
+++ b/gateway/policy/actions.py
@@ -1,4 +1,4 @@
-"""The actions that the policy asks its host to carry out. All times are milliseconds."""
+"""The actions that the policy returns, for its host to carry out. All times are milliseconds."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 class StartAttempt:
     """Start an attempt; the attempts of a request are numbered 0, 1, 2, ... in the order of their starts.
 
-    Where a connection has to be waited for, the attempt ends as one that never ran once `start_before`, a
-    time on the policy's clock, has passed.
+    If no connection is established before `start_before`, a time on the policy's clock, the request is not
+    sent and the attempt ends as not started.
     """
 
     request_id: str
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Give up an attempt that is in flight."""
+    """Cancel an attempt that is in flight."""
 
     request_id: str
     attempt_number: int
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """A final response which promises that trying again does no harm."""
+    """A final response which promises that it is safe to send the request again."""
 
     request_id: str
     retry_after_ms: float = 0.0
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """A final response that promises nothing."""
+    """A final response after which the request may have run."""
 
     request_id: str
 
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IncrementCounter:
-    """Add to a named number on the counter service (0 reads it); the response carries the total."""
+    """Add to a named total on the counter service (0 reads it); the response carries the new total."""
 
     name: str
     amount: float
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEndpoints:
-    """Watch the endpoint list from now on."""
+    """Open a watch of the endpoint list."""
 
     enabled: bool = True
 
--- a/gateway/policy/events.py
+++ b/gateway/policy/events.py
@@ -10,7 +10,7 @@
 
 
 class EndpointState(Enum):
-    """What the endpoint list says of a backend."""
+    """The state of a backend in the endpoint list."""
 
     READY = auto()
     DRAINING = auto()
@@ -23,9 +23,9 @@
     DELTA = auto()
     """Changes since the last update."""
     SNAPSHOT = auto()
-    """The whole list."""
+    """The complete list."""
     CACHED = auto()
-    """The whole list as it was known before the start of this process; it may be old."""
+    """The complete list as cached before the start of this process; it may be stale."""
     WATCH_FAILED = auto()
     """Nothing: the list could not be read."""
 
@@ -35,21 +35,21 @@
 
     OK = auto()
     FAILED = auto()
-    """The backend answered with an error."""
+    """The backend or the counter responded with an error."""
     QUEUE_FULL = auto()
-    """The backend or the counter rejected it unprocessed."""
+    """The backend or the counter rejected it without processing it."""
     TIMED_OUT = auto()
     CONNECT_ERROR = auto()
-    """No connection, or one that broke before the request had left."""
+    """No connection, or one that broke before the request was sent."""
     CONNECTION_RESET = auto()
-    """The connection broke after the request had left: it may have run."""
+    """The connection broke after the request was sent: it may have run."""
     CANCELLED = auto()
     NOT_STARTED = auto()
     """The host did not carry out the action."""
 
 
 NOT_PROCESSED = (Outcome.QUEUE_FULL, Outcome.CONNECT_ERROR, Outcome.NOT_STARTED)
-"""The outcomes of attempts and calls that surely have not been processed."""
+"""The outcomes of attempts and calls that are known not to have been processed."""
 
 
 class Endpoint(NamedTuple):
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A client asks. The customer's requests arrive through `gateway_set_size` gateways."""
+    """A request has arrived; those of its customer arrive through `gateway_set_size` gateways."""
 
     request_id: str
     request_class: str
@@ -87,6 +87,7 @@
     gateway_set_start: int
     """The index of the first gateway of the set."""
     is_retry: bool = False
+    """Whether the client has sent this request before."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -103,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """The first bytes of a response have come."""
+    """The first bytes of a response have arrived."""
 
     request_id: str
     attempt_number: int
@@ -112,7 +113,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """Nobody waits for this request any more."""
+    """The client of a request has disconnected."""
 
     request_id: str
 
@@ -135,7 +136,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """Another gateway has sent something."""
+    """A message of another gateway."""
 
     sender: int
     payload: bytes
--- a/gateway/policy/request_lifecycle.py
+++ b/gateway/policy/request_lifecycle.py
@@ -98,9 +98,7 @@
     def _admit(self, now: float, request: PendingRequest, actions: Actions) -> None:
         """Forward a request if its lease, the load and the backends let it, else reject it."""
         lease = request.lease
-        shortfall = request.assumed_shortfall
-        if shortfall is None:
-            shortfall = request.cost - lease.tokens if lease.plan.rate else 0.0
+        shortfall = request.token_shortfall()
         delay_ms = self.admission.queueing_delay(now, self.retries.attempts.values())
         relative_delay = delay_ms / max(request.request_class.latency_objective_ms, 1.0)
         self.retries.earn(has_spare_capacity=relative_delay < SPARE_DELAY_FRACTION)
--- a/gateway/policy/requests.py
+++ b/gateway/policy/requests.py
@@ -62,6 +62,12 @@
         if not may_have_run:
             self.possibly_run.remove(attempt)
 
+    def token_shortfall(self) -> float:
+        """Tokens that its lease lacks to pay for it; not positive where it is within the quota."""
+        if self.assumed_shortfall is not None:
+            return self.assumed_shortfall
+        return self.cost - self.lease.tokens if self.lease.plan.rate else 0.0
+
     def schedule_check(self, now: float, at: float, actions: Actions) -> None:
         """Check the request again at a time, and at the latest when it has to be finished."""
         self.check_at = min(at, self.finish_by)
--- a/gateway/policy/settings.py
+++ b/gateway/policy/settings.py
@@ -1,6 +1,6 @@
 """The policy's settings: request classes, plans, safety rules and what the deployment allows.
 
-All times are milliseconds, all rates are per second. Nothing here decides anything.
+All times are milliseconds, all rates are per second.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
     """Whether the requests of a class may run more than once."""
 
     IDEMPOTENT = auto()
-    """Running it again changes nothing: it may be retried and hedged freely."""
+    """Running it again has no further effect: it may be retried and hedged freely."""
     WITH_KEY = auto()
     """It carries an idempotency key: backends drop a repeat within the deduplication window."""
     UNSAFE = auto()
-    """It must not run twice: it is never sent again once it may have run."""
+    """It must not run twice: it is not sent again once it may have run."""
 
 
 class DeduplicationScope(Enum):
@@ -30,13 +30,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests: what it is worth, how fast it should be, whether it may run twice."""
+    """A class of requests: its priority, latency objective and idempotency."""
 
     name: str
     latency_objective_ms: float
-    """A response that takes longer earns nothing."""
+    """Time in which a response is useful; a later one has no value to the client."""
     deadline_ms: float
-    """How long its clients usually wait at most."""
+    """Usual time from the arrival of its requests to their deadlines."""
     priority_weight: float = 1.0
     idempotency: Idempotency = Idempotency.UNSAFE
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
@@ -51,13 +51,13 @@
     rate: float = 0.0
     """Cost units a second."""
     burst: float = 0.0
-    """Cost units that an idle customer has saved up at most."""
+    """Cost units that the customer's token bucket holds at most."""
     concurrency_limit: int = 0
     """Attempts in flight at once."""
     over_quota_revenue: float = 0.0
-    """Part of a request's worth that serving it beyond the quota earns."""
+    """Revenue of a request that is served beyond the quota, as a fraction of its priority weight."""
     over_quota_cost: float = 0.0
-    """Part of a request's worth that forwarding it beyond the quota costs."""
+    """Cost of forwarding a request beyond the quota, as a fraction of its priority weight."""
     hard_limit_rate: float = 0.0
     """Cost units a second that must never be exceeded."""
     hard_limit_burst: float = 0.0
@@ -68,18 +68,18 @@
     """Limits that protect backends."""
 
     drain_grace_ms: float
-    """How long after the notification a draining backend may still be sent new work."""
+    """Time after the notification in which a draining backend may still get new requests."""
     initial_capacity: float
-    """Part of its full capacity that a backend has at its start."""
+    """Fraction of its full capacity that a backend has at its start."""
     slow_start_ms: float
-    """Time from its start until a backend surely has its full capacity."""
+    """Time from its start after which a backend has its full capacity."""
     overload_multiple: float
-    """A backend that is warming up fails when sent more than this multiple of its present capacity."""
+    """A backend that is warming up fails above this multiple of its present capacity."""
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """Everything that the policy of one gateway is given at its start."""
+    """The settings of one gateway, which are fixed from its start."""
 
     gateway_index: int
     gateway_count: int
@@ -93,7 +93,7 @@
     cancellation_supported: bool = False
     counter_available: bool = False
     polls_endpoints: bool = False
-    """Whether the endpoint list has to be asked for, rather than being pushed by a local agent."""
+    """Whether the gateway polls discovery for the endpoint list; else a local agent pushes it."""
     max_retry_after_ms: float = 0.0
     counter_timeout_ms: float = 0.0
     max_request_cost: float = 1.0
--- a/gateway/policy/timers.py
+++ b/gateway/policy/timers.py
@@ -1,4 +1,4 @@
-"""What the timers of the policy are for."""
+"""The timers that the policy sets, and the tokens that identify them."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
     """The work that is due when a timer fires; the values are the encoded form."""
 
     REQUEST = "r"
-    """A request has to be looked at again: its attempt is late, or its deadline near."""
+    """A request has to be checked: its attempt takes too long, or its deadline is near."""
     USAGE_REPORT = "c"
     """Usage of a customer is to be reported to the counter."""
     WATCH_ENDPOINTS = "follow"
-    """The endpoint list is to be watched again after a failure."""
+    """The watch of the endpoint list is to be opened again after a failure."""
     BUILD_ORDER = "order"
     """The next step of ordering a long endpoint list is due."""
 
