--- a/gateway/settings_document.py
+++ b/gateway/settings_document.py
@@ -1,13 +1,13 @@
 """Reads the settings object that the platform gives to a gateway, and the simulator to an instance.
 
-Both give the same JSON object, in the words of the platform's pages. They are translated here and
-nowhere else.
+Both give the same JSON object. Its keys and values are translated here into the terms of the program.
 """
 
 from __future__ import annotations
 
 from typing import Any, TypeVar
 
+from .errors import GatewayError
 from .policy.settings import (
     DeduplicationScope,
     Idempotency,
@@ -19,83 +19,148 @@
 
 Term = TypeVar("Term")
 
-IDEMPOTENCY_BY_EFFECT = {
+# Keys of the settings.
+GATEWAY_INDEX = "selfIndex"
+GATEWAY_COUNT = "groupSize"
+ZONE = "az"
+ENDPOINT_SOURCE = "discovery"
+REQUEST_CLASSES = "classes"
+PLANS = "packages"
+SAFETY_RULES = "rules"
+CAPABILITIES = "caps"
+COUNTER = "familyInfo"
+
+# Keys of a request class and of a plan.
+NAME = "name"
+
+# Keys of a request class.
+LATENCY_OBJECTIVE_MS = "aim"
+DEADLINE_MS = "deadline"
+PRIORITY_WEIGHT = "importance"
+IDEMPOTENCY = "effect"
+DEDUPLICATION_SCOPE = "group"
+DEDUPLICATION_WINDOW_MS = "repeatWindow"
+
+# Keys of a plan.
+RATE = "rate"
+BURST = "mostAtOnce"
+CONCURRENCY_LIMIT = "open"
+OVER_QUOTA_REVENUE = "beyondEarns"
+OVER_QUOTA_COST = "overrunCost"
+HARD_LIMIT_RATE = "neverOverRate"
+HARD_LIMIT_BURST = "hardBurst"
+
+# Keys of the safety rules.
+DRAIN_GRACE_MS = "drainGrace"
+INITIAL_CAPACITY = "startCapacity"
+SLOW_START_MS = "warmWithin"
+OVERLOAD_MULTIPLE = "fallMultiple"
+
+# Keys of the capabilities.
+MAX_ATTEMPTS = "maxAttempts"
+HEDGING_ALLOWED = "mayDuplicate"
+CANCELLATION_SUPPORTED = "cancelling"
+RETRY_AFTER_SUPPORTED = "retryAfter"
+MAX_RETRY_AFTER_MS = "maxRetryAfter"
+
+# Keys of the counter's settings.
+COUNTER_AVAILABLE = "mayCount"
+COUNTER_TIMEOUT_MS = "countWait"
+MAX_REQUEST_COST = "unitsTop"
+
+POLLED = "ask"
+"""The endpoint source that has to be polled."""
+
+SCOPE_ALL = "all"
+"""The deduplication scope of all backends, which is the default."""
+
+IDEMPOTENCY_BY_WORD = {
     "pure": Idempotency.IDEMPOTENT,
     "token": Idempotency.WITH_KEY,
     "side_effect": Idempotency.UNSAFE,
 }
-DEDUPLICATION_SCOPE_BY_GROUP = {
-    "all": DeduplicationScope.ALL,
+DEDUPLICATION_SCOPE_BY_WORD = {
+    SCOPE_ALL: DeduplicationScope.ALL,
     "zone": DeduplicationScope.ZONE,
     "cell": DeduplicationScope.CELL,
 }
 
 
+class SettingsError(GatewayError, ValueError):
+    """A value of the settings is not one of those that are defined.
+
+    Also a ValueError, as which both hosts handle a value that cannot be converted.
+    """
+
+
 def parse_settings(document: dict[str, Any]) -> Settings:
     """The typed settings of a decoded document.
 
-    Raises KeyError, TypeError, ValueError or AttributeError where a required key is missing or a value has
-    the wrong type.
+    Raises SettingsError for a value that is not one of those defined, and KeyError, TypeError, ValueError or
+    AttributeError where a required key is missing or a value has the wrong type.
     """
-    capabilities = document.get("caps") or {}
-    counter = document.get("familyInfo") or {}
-    retry_after_supported = capabilities.get("retryAfter", True)
+    capabilities = document.get(CAPABILITIES) or {}
+    counter = document.get(COUNTER) or {}
+    retry_after_supported = capabilities.get(RETRY_AFTER_SUPPORTED, True)
     return Settings(
-        gateway_index=int(document.get("selfIndex") or 0),
-        gateway_count=int(document.get("groupSize") or 1),
-        zone=str(document.get("az") or ""),
-        request_classes=tuple(parse_request_class(entry) for entry in document.get("classes") or ()),
-        plans=tuple(parse_plan(entry) for entry in document.get("packages") or ()),
-        safety_rules=parse_safety_rules(document.get("rules") or {}),
-        max_attempts=int(capabilities.get("maxAttempts") or 1),
-        hedging_allowed=bool(capabilities.get("mayDuplicate")),
-        cancellation_supported=bool(capabilities.get("cancelling")),
-        counter_available=bool(counter.get("mayCount")),
-        polls_endpoints=document.get("discovery") == "ask",
-        max_retry_after_ms=float(capabilities.get("maxRetryAfter") or 0) if retry_after_supported else 0.0,
-        counter_timeout_ms=float(counter.get("countWait") or 0),
-        max_request_cost=float(counter.get("unitsTop") or 1),
+        gateway_index=int(document.get(GATEWAY_INDEX) or 0),
+        gateway_count=int(document.get(GATEWAY_COUNT) or 1),
+        zone=str(document.get(ZONE) or ""),
+        request_classes=tuple(parse_request_class(entry) for entry in document.get(REQUEST_CLASSES) or ()),
+        plans=tuple(parse_plan(entry) for entry in document.get(PLANS) or ()),
+        safety_rules=parse_safety_rules(document.get(SAFETY_RULES) or {}),
+        max_attempts=int(capabilities.get(MAX_ATTEMPTS) or 1),
+        hedging_allowed=bool(capabilities.get(HEDGING_ALLOWED)),
+        cancellation_supported=bool(capabilities.get(CANCELLATION_SUPPORTED)),
+        counter_available=bool(counter.get(COUNTER_AVAILABLE)),
+        polls_endpoints=document.get(ENDPOINT_SOURCE) == POLLED,
+        max_retry_after_ms=float(capabilities.get(MAX_RETRY_AFTER_MS) or 0) if retry_after_supported else 0.0,
+        counter_timeout_ms=float(counter.get(COUNTER_TIMEOUT_MS) or 0),
+        max_request_cost=float(counter.get(MAX_REQUEST_COST) or 1),
     )
 
 
 def parse_request_class(entry: dict[str, Any]) -> RequestClass:
-    """One entry of the document's `classes`."""
+    """The request class of one entry of the document."""
     return RequestClass(
-        name=str(entry["name"]),
-        latency_objective_ms=float(entry.get("aim") or entry["deadline"]),
-        deadline_ms=float(entry["deadline"]),
-        priority_weight=float(entry.get("importance") or 0),
-        idempotency=_translate(IDEMPOTENCY_BY_EFFECT, entry["effect"], "effect"),
-        deduplication_scope=_translate(DEDUPLICATION_SCOPE_BY_GROUP, entry.get("group") or "all", "group"),
-        deduplication_window_ms=float(entry.get("repeatWindow") or 0),
+        name=str(entry[NAME]),
+        latency_objective_ms=float(entry.get(LATENCY_OBJECTIVE_MS) or entry[DEADLINE_MS]),
+        deadline_ms=float(entry[DEADLINE_MS]),
+        priority_weight=float(entry.get(PRIORITY_WEIGHT) or 0),
+        idempotency=_translate(IDEMPOTENCY_BY_WORD, entry[IDEMPOTENCY], IDEMPOTENCY),
+        deduplication_scope=_translate(
+            DEDUPLICATION_SCOPE_BY_WORD, entry.get(DEDUPLICATION_SCOPE) or SCOPE_ALL, DEDUPLICATION_SCOPE
+        ),
+        deduplication_window_ms=float(entry.get(DEDUPLICATION_WINDOW_MS) or 0),
     )
 
 
 def parse_plan(entry: dict[str, Any]) -> Plan:
-    """One entry of the document's `packages`."""
+    """The plan of one entry of the document."""
     return Plan(
-        name=str(entry["name"]),
-        rate=float(entry.get("rate") or 0),
-        burst=float(entry.get("mostAtOnce") or 0),
-        concurrency_limit=int(entry.get("open") or 0),
-        over_quota_revenue=float(entry.get("beyondEarns") or 0),
-        over_quota_cost=float(entry.get("overrunCost") or 0),
-        hard_limit_rate=float(entry.get("neverOverRate") or 0),
-        hard_limit_burst=float(entry.get("hardBurst") or 0),
+        name=str(entry[NAME]),
+        rate=float(entry.get(RATE) or 0),
+        burst=float(entry.get(BURST) or 0),
+        concurrency_limit=int(entry.get(CONCURRENCY_LIMIT) or 0),
+        over_quota_revenue=float(entry.get(OVER_QUOTA_REVENUE) or 0),
+        over_quota_cost=float(entry.get(OVER_QUOTA_COST) or 0),
+        hard_limit_rate=float(entry.get(HARD_LIMIT_RATE) or 0),
+        hard_limit_burst=float(entry.get(HARD_LIMIT_BURST) or 0),
     )
 
 
 def parse_safety_rules(entry: dict[str, Any]) -> SafetyRules:
-    """The document's `rules`."""
+    """The safety rules of the document."""
     return SafetyRules(
-        drain_grace_ms=float(entry.get("drainGrace") or 0),
-        initial_capacity=float(entry.get("startCapacity") or 0),
-        slow_start_ms=float(entry.get("warmWithin") or 0),
-        overload_multiple=float(entry.get("fallMultiple") or 0),
+        drain_grace_ms=float(entry.get(DRAIN_GRACE_MS) or 0),
+        initial_capacity=float(entry.get(INITIAL_CAPACITY) or 0),
+        slow_start_ms=float(entry.get(SLOW_START_MS) or 0),
+        overload_multiple=float(entry.get(OVERLOAD_MULTIPLE) or 0),
     )
 
 
 def _translate(terms: dict[str, Term], word: Any, key: str) -> Term:
     if word not in terms:
-        raise ValueError(f"{word!r} is not a valid {key}")
+        expected = ", ".join(map(repr, terms))
+        raise SettingsError(f"reading the settings: expected one of {expected} for {key!r}, got {word!r}")
     return terms[word]
--- a/gateway/simulator/decoding.py
+++ b/gateway/simulator/decoding.py
@@ -1,7 +1,7 @@
 """Decodes the simulator's events into those of the policy.
 
-An event is a JSON array of its name and its values. The words of the simulator's protocol are translated
-here, in `encoding` and in `gateway.settings_document`, and stand nowhere else.
+An event is a JSON array of its name and its values. The names are those of `wire_names`; the settings of an
+instance are translated by `gateway.settings_document`.
 """
 
 from __future__ import annotations
@@ -26,33 +26,34 @@
 )
 from gateway.policy.timers import TimerToken
 
+from . import wire_names
 from .errors import WireFormatError
 
 ENDPOINT_STATES = {
-    "ready": EndpointState.READY,
-    "draining": EndpointState.DRAINING,
-    "gone": EndpointState.REMOVED,
+    wire_names.READY: EndpointState.READY,
+    wire_names.DRAINING: EndpointState.DRAINING,
+    wire_names.REMOVED: EndpointState.REMOVED,
 }
 UPDATE_KINDS = {
-    "INCREMENTAL": UpdateKind.DELTA,
-    "FULL": UpdateKind.SNAPSHOT,
-    "SAVED": UpdateKind.CACHED,
-    "FAILED": UpdateKind.WATCH_FAILED,
+    wire_names.DELTA: UpdateKind.DELTA,
+    wire_names.SNAPSHOT: UpdateKind.SNAPSHOT,
+    wire_names.CACHED: UpdateKind.CACHED,
+    wire_names.WATCH_FAILED: UpdateKind.WATCH_FAILED,
 }
 OUTCOMES = {
-    "Ok": Outcome.OK,
-    "Failed": Outcome.FAILED,
-    "QueueFull": Outcome.QUEUE_FULL,
-    "TimedOut": Outcome.TIMED_OUT,
-    "ConnectError": Outcome.CONNECT_ERROR,
-    "ResetByPeer": Outcome.CONNECTION_RESET,
-    "Canceled": Outcome.CANCELLED,
-    "Ignored": Outcome.NOT_STARTED,
+    wire_names.OK: Outcome.OK,
+    wire_names.FAILED: Outcome.FAILED,
+    wire_names.QUEUE_FULL: Outcome.QUEUE_FULL,
+    wire_names.TIMED_OUT: Outcome.TIMED_OUT,
+    wire_names.CONNECT_ERROR: Outcome.CONNECT_ERROR,
+    wire_names.CONNECTION_RESET: Outcome.CONNECTION_RESET,
+    wire_names.CANCELLED: Outcome.CANCELLED,
+    wire_names.NOT_STARTED: Outcome.NOT_STARTED,
 }
 RETRY_FLAG = 2
-"""The bit of a request's flags that says that its client asks again."""
+"""The bit of a request's flags that is set when its client has sent it before."""
 FLAGS_POSITION = 8
-"""The place of a request's flags among its values; they may be left out."""
+"""Index of a request's flags among its values; they may be left out."""
 
 
 def decode_event(name: str, values: list[Any]) -> Event | None:
@@ -63,7 +64,7 @@
     """
     decode = EVENT_DECODERS.get(name)
     if decode is None:
-        raise WireFormatError(f"unknown event {name!r}")
+        raise WireFormatError(f"decoding an event of the simulator: unknown event {name!r}")
     return decode(values)
 
 
@@ -144,18 +145,18 @@
 
 def _text(value: Any) -> str:
     if not isinstance(value, str):
-        raise WireFormatError(f"expected text, got {value!r}")
+        raise WireFormatError(f"decoding an event of the simulator: expected a string, got {value!r}")
     return value
 
 
 EVENT_DECODERS: dict[str, Callable[[list[Any]], Event | None]] = {
-    "backendsChanged": _decode_endpoint_update,
-    "jobIn": _decode_request,
-    "ended": _decode_attempt_end,
-    "underWay": _decode_response_start,
-    "lapsed": _decode_disconnect,
-    "ledgerReply": _decode_counter_response,
-    "wakeup": _decode_timer,
-    "whisper": _decode_peer_message,
-    "health": _ignore,
+    wire_names.ENDPOINT_UPDATE: _decode_endpoint_update,
+    wire_names.REQUEST_ARRIVED: _decode_request,
+    wire_names.ATTEMPT_ENDED: _decode_attempt_end,
+    wire_names.RESPONSE_STARTED: _decode_response_start,
+    wire_names.CLIENT_DISCONNECTED: _decode_disconnect,
+    wire_names.COUNTER_RESPONSE: _decode_counter_response,
+    wire_names.TIMER_FIRED: _decode_timer,
+    wire_names.PEER_MESSAGE: _decode_peer_message,
+    wire_names.HEALTH_CHECKED: _ignore,
 }
--- a/gateway/simulator/encoding.py
+++ b/gateway/simulator/encoding.py
@@ -16,6 +16,16 @@
     WatchEndpoints,
 )
 
+from .wire_names import (
+    CANCEL_ATTEMPT,
+    FAIL,
+    INCREMENT_COUNTER,
+    REJECT,
+    SET_TIMER,
+    START_ATTEMPT,
+    WATCH_ENDPOINTS,
+)
+
 WireAction = list[Any]
 
 
@@ -26,31 +36,31 @@
 
 def _encode_attempt(action: StartAttempt) -> WireAction:
     # `start_before` is left out: the simulator starts an attempt at once, so it never passes.
-    return ["callOut", action.request_id, action.timeout_ms, action.backend_id]
+    return [START_ATTEMPT, action.request_id, action.timeout_ms, action.backend_id]
 
 
 def _encode_cancellation(action: CancelAttempt) -> WireAction:
-    return ["cancel", action.request_id, action.attempt_number]
+    return [CANCEL_ATTEMPT, action.request_id, action.attempt_number]
 
 
 def _encode_rejection(action: Reject) -> WireAction:
-    return ["bounce", action.request_id, action.retry_after_ms]
+    return [REJECT, action.request_id, action.retry_after_ms]
 
 
 def _encode_failure(action: Fail) -> WireAction:
-    return ["dropRequest", action.request_id]
+    return [FAIL, action.request_id]
 
 
 def _encode_timer(action: SetTimer) -> WireAction:
-    return ["sleep", action.delay_ms, action.token.encode()]
+    return [SET_TIMER, action.delay_ms, action.token.encode()]
 
 
 def _encode_increment(action: IncrementCounter) -> WireAction:
-    return ["incr", action.name, action.expires_in_ms, action.amount]
+    return [INCREMENT_COUNTER, action.name, action.expires_in_ms, action.amount]
 
 
 def _encode_watch(action: WatchEndpoints) -> WireAction:
-    return ["follow", action.enabled]
+    return [WATCH_ENDPOINTS, action.enabled]
 
 
 ACTION_ENCODERS: dict[type[Action], Callable[[Any], WireAction]] = {
--- a/gateway/simulator/host.py
+++ b/gateway/simulator/host.py
@@ -11,6 +11,15 @@
 from .decoding import decode_event
 from .encoding import WireAction, encode_actions
 from .errors import WireFormatError
+from .wire_names import (
+    ACTIONS,
+    CREATE_INSTANCE,
+    EVENTS,
+    GROUPS,
+    INSTANCE_ID,
+    MOMENT,
+    REMOVE_INSTANCE,
+)
 
 
 class EventGroup(TypedDict):
@@ -34,7 +43,7 @@
     out: list[WireAction]
 
 
-# Built once: `json.dumps` builds an encoder in each call that asks for other separators than its own.
+# Built once: `json.dumps` builds an encoder in each call whose separators are not its default ones.
 _encode_json = json.JSONEncoder(separators=(",", ":")).encode
 
 
@@ -52,31 +61,31 @@
         groups: list[ActionGroup] = []
         try:
             batch: Batch = json.loads(line)
-            now = float(batch["moment"])
-            for group in batch["groups"]:
+            now = float(batch[MOMENT])
+            for group in batch[GROUPS]:
                 actions = self._handle_group(now, group)
                 if actions:
-                    groups.append({"gatewayId": group["gatewayId"], "out": actions})
+                    groups.append({INSTANCE_ID: group[INSTANCE_ID], ACTIONS: actions})
         except (ValueError, KeyError, TypeError, AttributeError, IndexError) as error:
-            raise WireFormatError(f"{type(error).__name__}: {error}") from error
-        return _encode_json({"groups": groups})
+            raise WireFormatError(f"handling a batch: {type(error).__name__}: {error}") from error
+        return _encode_json({GROUPS: groups})
 
     def _handle_group(self, now: float, group: EventGroup) -> list[WireAction]:
-        instance_id = int(group["gatewayId"])
+        instance_id = int(group[INSTANCE_ID])
         policy = self._policies.get(instance_id)
         actions: list[WireAction] = []
-        for name, *values in group["arrivals"]:
-            if name == "create":
+        for name, *values in group[EVENTS]:
+            if name == CREATE_INSTANCE:
                 seed, settings = values[:2]
                 policy = GatewayPolicy(parse_settings(settings), int(seed))
                 self._policies[instance_id] = policy
                 continue
             if policy is None:
-                raise WireFormatError(f"event {name!r} for unknown instance {instance_id}")
-            if name == "exit":
+                raise WireFormatError(f"handling event {name!r}: there is no instance {instance_id}")
+            if name == REMOVE_INSTANCE:
                 del self._policies[instance_id]
                 policy = None
-                actions.clear()  # nothing is left that could carry them out
+                actions.clear()  # there is no instance left to carry them out
                 continue
             event = decode_event(name, values)
             if event is not None:
