--- a/tests/network/test_dispatcher.py
+++ b/tests/network/test_dispatcher.py
@@ -29,9 +29,10 @@
 )
 from gateway.policy.timers import TimerKind, TimerToken
 from tests.support.event_loop import run_in_loop, wait_until
-from tests.support.policy_harness import BONUS, SAFE, StubPolicy, settings
+from tests.support.policy_settings import BONUS, IDEMPOTENT, settings
 from tests.support.request_commands import request_command
 from tests.support.resp_peer import LOCAL
+from tests.support.stub_policy import StubPolicy
 
 BACKEND = 7
 
@@ -52,7 +53,7 @@
             max_buffered_bytes=1_000_000,
         )
         self.dispatcher = Dispatcher(
-            settings(max_attempts=2, request_classes=(SAFE,)),
+            settings(max_attempts=2, request_classes=(IDEMPOTENT,)),
             seed=1,
             timers=timers,
             backends=self.backends,
@@ -62,15 +63,17 @@
         self.policy = StubPolicy()
         self.dispatcher.policy = self.policy  # type: ignore[assignment]
         self.parser = RequestParser(self.dispatcher.settings)
-        listener = ClientListener(loop, timers, self.dispatcher, self.parser, ClientLimits(10, 1_000_000))
+        listener = ClientListener(
+            loop, timers, handler=self.dispatcher, parser=self.parser, limits=ClientLimits(10, 1_000_000)
+        )
         accepted, self.client = socket.socketpair()
         accepted.setblocking(False)
         self.connection = ClientConnection(listener, accepted)
 
     def request(self, id: bytes = b"r1", remaining_ms: int = 3000) -> PendingReply:
         pending_reply = PendingReply(self.connection)
-        pending_reply.open_request_id = id.decode()
-        self.connection.pending_replies.append(pending_reply)
+        pending_reply.open_request(id.decode())
+        self.connection.replies.add(pending_reply)
         args = list(request_command(id, plan=BONUS.name.encode(), remaining_ms=remaining_ms))
         self.dispatcher.on_request(self.parser.parse(args), pending_reply)
         return pending_reply
--- a/tests/network/test_dispatcher_endings.py
+++ b/tests/network/test_dispatcher_endings.py
@@ -34,9 +34,9 @@
 from tests.support.fake_services import FakeBackend, FakeCounter, ScriptedReply
 from tests.support.gateway_harness import SETTINGS, GatewayHarness, running_gateway
 from tests.support.manual_server import ManualServer, full_accept_queue
-from tests.support.policy_harness import StubPolicy
 from tests.support.request_commands import request_command
 from tests.support.resp_peer import RespPeer, encode_command
+from tests.support.stub_policy import StubPolicy
 
 FIRST_BACKEND = 7
 SECOND_BACKEND = 8
@@ -48,7 +48,7 @@
     async def scenario() -> None:
         answered = asyncio.Event()
 
-        async def answer_late(_words: list[bytes]) -> ScriptedReply:
+        async def answer_late(_call: list[bytes]) -> ScriptedReply:
             await answered.wait()
             return b"ok 1\r\n"
 
@@ -248,7 +248,7 @@
 
     A timer or a response brings the first attempt or a hedged request, a failed attempt the next one.
     """
-    monkeypatch.setattr("gateway.network.counter.connection.SILENCE_TIMEOUT_MS", math.inf)
+    monkeypatch.setattr("gateway.network.counter.connection.INACTIVITY_TIMEOUT_MS", math.inf)
 
     async def scenario() -> None:
         crossing = Crossing(trigger, count)
--- a/tests/support/clients.py
+++ b/tests/support/clients.py
@@ -16,8 +16,9 @@
 from gateway.network.dispatcher import Dispatcher
 from gateway.network.timers import TimerQueue
 from gateway.policy.settings import Idempotency, Plan, RequestClass
-from tests.support.policy_harness import StubPolicy, settings
+from tests.support.policy_settings import settings
 from tests.support.resp_peer import LOCAL, RespPeer
+from tests.support.stub_policy import StubPolicy
 
 VIEW = RequestClass("view", 1500, 4000, idempotency=Idempotency.IDEMPOTENT)
 PARSER = RequestParser(settings(gateway_count=1, request_classes=(VIEW,), plans=(Plan("free"),)))
@@ -47,7 +48,9 @@
     """A client listener with a recording handler, and its port."""
     loop = asyncio.get_running_loop()
     handler = RecordingHandler()
-    listener = ClientListener(loop, TimerQueue(loop), handler, PARSER, ClientLimits(max_connections, memory))
+    listener = ClientListener(
+        loop, TimerQueue(loop), handler=handler, parser=PARSER, limits=ClientLimits(max_connections, memory)
+    )
     port = listener.listen(LOCAL, 0)
     yield listener, handler, port
     listener.begin_shutdown()
@@ -81,7 +84,9 @@
         max_open_requests=max_connections,
     )
     dispatcher.policy = policy  # type: ignore[assignment]
-    listener = ClientListener(loop, timers, dispatcher, PARSER, ClientLimits(max_connections, 1_000_000))
+    listener = ClientListener(
+        loop, timers, handler=dispatcher, parser=PARSER, limits=ClientLimits(max_connections, 1_000_000)
+    )
     yield dispatcher, policy, listener, listener.listen(LOCAL, 0)
     listener.begin_shutdown()
     listener.close()
