--- a/benchmarks/capacity_slopes/policy_internals.py
+++ b/benchmarks/capacity_slopes/policy_internals.py
@@ -2,38 +2,39 @@
 
 from __future__ import annotations
 
+import dataclasses
 from collections.abc import Iterable
 
 from gateway.policy.policy import GatewayPolicy
 
 
 def postpone_cleanup(policy: GatewayPolicy, now: float) -> None:
-    """Let the policy take idle customers as searched for just now."""
+    """Make the policy search for idle customers no sooner than after a full interval."""
     policy.leases.swept_at = now
 
 
 def make_cleanup_due(policy: GatewayPolicy) -> None:
-    """Let the next arrival search for idle customers."""
+    """Make the policy search for idle customers at the next arrival."""
     policy.leases.swept_at = 0.0
 
 
 def known_customers(policy: GatewayPolicy) -> int:
-    """Return how many customers the policy keeps."""
+    """Return how many customers have a lease."""
     return len(policy.leases.by_customer)
 
 
 def unreported_usage(policies: Iterable[GatewayPolicy]) -> float:
-    """Return the units that were spent and not yet added to the counter."""
+    """Return the units that were spent and not yet reported to the counter."""
     return sum(lease.unreported_usage for policy in policies for lease in policy.leases.by_customer.values())
 
 
 def open_requests(policy: GatewayPolicy) -> int:
-    """Return how many requests wait for their end."""
+    """Return how many requests await their final response."""
     return len(policy.requests)
 
 
 def pending_counter_calls(policy: GatewayPolicy) -> int:
-    """Return under how many names calls to the counter are in flight."""
+    """Return under how many names calls to the counter await a response."""
     return len(policy.counter.calls.by_name)
 
 
@@ -48,9 +49,8 @@
 
 
 def choose_backends(policy: GatewayPolicy, now: float, count: int) -> None:
-    """Choose a backend so many times, as for a request that has not been forwarded anywhere."""
-    request = next(iter(policy.requests.values()))
-    request.tried_backend_ids = set()
-    request.possibly_run = []
+    """Choose a backend so many times, as for a request that has not been forwarded yet."""
+    pending = next(iter(policy.requests.values()))
+    request = dataclasses.replace(pending, tried_backend_ids=set(), possibly_run=[])
     for _ in range(count):
         policy.balancer.pick(now, request)
