--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -60,7 +60,7 @@
 
 def test_a_request_with_a_key_is_not_retried_after_its_deduplication_window() -> None:
     w = PolicyHarness.without_quotas([create_endpoint(1, cell=0), create_endpoint(3, cell=0)])
-    w.policy.request_classes["order"] = RequestClass(
+    w.policy.lifecycle.request_classes["order"] = RequestClass(
         "order", 5000, 9000, 1, Idempotency.WITH_KEY, DeduplicationScope.CELL, 2000
     )
     first = only_attempt_in(w.request("order", remaining_ms=9000))
