--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -1,13 +1,11 @@
-"""Load shedding, without the network and the simulator."""
+"""Admission: load shedding by priority, and rejections with a Retry-After."""
 
 from __future__ import annotations
 
 import pytest
 
 from gateway.policy.actions import Reject, StartAttempt
-from gateway.policy.events import (
-    Outcome,
-)
+from gateway.policy.events import Outcome
 from gateway.policy.settings import Plan
 from tests.support.policy_harness import (
     PolicyHarness,
@@ -16,68 +14,115 @@
     rejections_in,
     serve_steadily,
 )
-from tests.support.policy_settings import BASIC
-
-
-def test_overload_is_shed_early_and_the_lower_priority_first() -> None:
-    """Danger: told by latency, overload is seen a whole queue too late, and so is its end."""
-    w = PolicyHarness.without_quotas()
-    serve_steadily(w)
-    out: list[StartAttempt] = []
-    while len(out) < 500 and (s := attempts_in(w.request("view"))):
-        out += s
-    assert len(out) < 100
-    assert attempts_in(w.request("order")), "the dearer class still goes through"
-    while attempts_in(w.request("order")):
+from tests.support.policy_settings import BASIC, IDEMPOTENT, WITH_KEY
+
+
+def fill_until_shed(harness: PolicyHarness, request_class: str, limit: int = 500) -> list[StartAttempt]:
+    """Send requests of a class until one is not forwarded; returns the attempts in flight."""
+    in_flight: list[StartAttempt] = []
+    while len(in_flight) < limit and (attempts := attempts_in(harness.request(request_class))):
+        in_flight += attempts
+    return in_flight
+
+
+def test_overload_sheds_the_lower_priority_first_and_ends_with_the_load(
+    unlimited_harness: PolicyHarness,
+) -> None:
+    """Shed by latency alone, an overload would be noticed a complete queue too late, and so would its end."""
+    harness = unlimited_harness
+    serve_steadily(harness)
+
+    in_flight = fill_until_shed(harness, IDEMPOTENT.name)
+
+    assert len(in_flight) < 100
+    assert attempts_in(harness.request(WITH_KEY.name)), "the class of higher priority is still admitted"
+
+    while attempts_in(harness.request(WITH_KEY.name)):
         pass
-    for send in out:
-        w.end_attempt(send)
-    w.pass_time(100)
-    assert attempts_in(w.request("view")), "rejections_in end as soon as the load has gone"
+    for attempt in in_flight:
+        harness.end_attempt(attempt)
+    harness.pass_time(100)
+
+    assert attempts_in(harness.request(IDEMPOTENT.name)), "shedding ends as soon as the load has gone"
 
 
 def test_a_gateway_without_responses_admits_requests() -> None:
-    """Danger: in a large fleet the floor fell under one request: no request, no answer, for ever."""
-    w = PolicyHarness.without_quotas(gateway_count=1000)
-    assert len(attempts_in(w.request()) + attempts_in(w.request())) == 2
+    """A limit of less than one request would never be raised: without a request there is no response."""
+    harness = PolicyHarness.without_quotas(gateway_count=1000)
+
+    actions = harness.request() + harness.request()
+
+    assert len(attempts_in(actions)) == 2
+
+
+def count_forwarded_one_at_a_time(harness: PolicyHarness, latency_ms: float) -> int:
+    """Attempts of the last sixty of ninety requests, each of which ends before the next arrives."""
+    forwarded = 0
+    for number in range(90):
+        for attempt in attempts_in(harness.request()):
+            forwarded += number >= 30
+            harness.pass_time(latency_ms)
+            attempt_number = harness.last_attempt_number(attempt.request_id)
+            harness.end_attempt(attempt, attempt_number=attempt_number)
+        harness.pass_time(400)
+    return forwarded
 
 
 def test_a_gateway_with_few_requests_sheds_by_recent_latency() -> None:
-    """Danger: three requests out at each of hundreds of gateways fill the servers for longer than the aim."""
-    w = PolicyHarness.without_quotas(gateway_count=300)
-    for lag in (100, 1500, 100):
-        sent = 0
-        for i in range(90):
-            for send in attempts_in(w.request()):
-                sent += i >= 30
-                w.pass_time(lag)
-                w.end_attempt(send, attempt_number=w.last_attempt_number(send.request_id))
-            w.pass_time(400)
-        assert sent < 36 if lag == 1500 else sent > 54
-
-
-@pytest.mark.parametrize(("most", "wait"), [(500.0, 400.0), (100.0, 100.0), (0.0, 0.0)])
-def test_a_request_that_cannot_be_retried_is_rejected_at_once_with_a_retry_after(
-    most: float, wait: float
+    """Three requests in flight at each of hundreds of gateways are an overload that none of them sees."""
+    harness = PolicyHarness.without_quotas(gateway_count=300)
+
+    forwarded_before = count_forwarded_one_at_a_time(harness, latency_ms=100)
+    forwarded_while_slow = count_forwarded_one_at_a_time(harness, latency_ms=1500)
+    forwarded_after = count_forwarded_one_at_a_time(harness, latency_ms=100)
+
+    assert forwarded_before > 54
+    assert forwarded_while_slow < 36
+    assert forwarded_after > 54
+
+
+RETRY_AFTER_BY_LIMIT = [(500.0, 400.0), (100.0, 100.0), (0.0, 0.0)]
+"""The longest Retry-After that the settings allow, and the one that a request without a retry gets."""
+
+
+@pytest.mark.parametrize(("max_retry_after_ms", "retry_after_ms"), RETRY_AFTER_BY_LIMIT)
+def test_a_request_without_attempts_left_is_rejected_at_once_with_a_retry_after(
+    max_retry_after_ms: float, retry_after_ms: float
 ) -> None:
-    w = PolicyHarness.without_quotas(max_retry_after_ms=most)
-    send, attempt = only_attempt_in(w.request()), 0
-    while batch := attempts_in(ended := w.end_attempt(send, Outcome.CONNECT_ERROR, attempt_number=attempt)):
-        send, attempt = batch[0], attempt + 1
-    assert rejections_in(ended) == [Reject(send.request_id, wait)]
-    assert w.now == 10_000
-    spent = PolicyHarness.without_quotas(max_retry_after_ms=most)
-    spent.policy.retries.budget = 0.0
-    assert rejections_in(spent.end_attempt(only_attempt_in(spent.request()), Outcome.CONNECTION_RESET)) == [
-        Reject("r1", wait)
-    ]
-
-
-def test_a_plan_counts_by_its_settings_not_its_name() -> None:
+    harness = PolicyHarness.without_quotas(max_retry_after_ms=max_retry_after_ms)
+    started_at = harness.now
+    attempt = only_attempt_in(harness.request())
+    attempt_number = 0
+
+    actions = harness.end_attempt(attempt, Outcome.CONNECT_ERROR)
+    while retries := attempts_in(actions):
+        attempt = retries[0]
+        attempt_number += 1
+        actions = harness.end_attempt(attempt, Outcome.CONNECT_ERROR, attempt_number=attempt_number)
+
+    assert rejections_in(actions) == [Reject(attempt.request_id, retry_after_ms)]
+    assert harness.now == started_at
+
+
+@pytest.mark.parametrize(("max_retry_after_ms", "retry_after_ms"), RETRY_AFTER_BY_LIMIT)
+def test_a_request_without_retry_budget_is_rejected_at_once_with_a_retry_after(
+    max_retry_after_ms: float, retry_after_ms: float
+) -> None:
+    harness = PolicyHarness.without_quotas(max_retry_after_ms=max_retry_after_ms)
+    harness.policy.retries.budget = 0.0
+    attempt = only_attempt_in(harness.request())
+
+    actions = harness.end_attempt(attempt, Outcome.CONNECTION_RESET)
+
+    assert rejections_in(actions) == [Reject(attempt.request_id, retry_after_ms)]
+
+
+def test_a_plan_is_known_by_its_settings_not_by_its_name() -> None:
     renamed = Plan("zzz", BASIC.rate, BASIC.burst)
-    a = PolicyHarness(plans=(BASIC,))
-    b = PolicyHarness(plans=(renamed,))
+    harness = PolicyHarness(plans=(BASIC,))
+    harness_of_renamed = PolicyHarness(plans=(renamed,))
+
     for _ in range(30):
-        assert a.request(plan="basic") == b.request(plan="zzz")
-        a.pass_time(100)
-        b.pass_time(100)
+        assert harness.request(plan=BASIC.name) == harness_of_renamed.request(plan=renamed.name)
+        harness.pass_time(100)
+        harness_of_renamed.pass_time(100)
