--- a/tests/policy/test_policy.py
+++ b/tests/policy/test_policy.py
@@ -1,12 +1,14 @@
-"""What the whole policy does with any events and settings."""
+"""What the complete policy does with any events and settings."""
 
 from __future__ import annotations
 
-from gateway.policy.actions import Fail
+import pytest
+
 from gateway.policy.events import (
     AttemptEnded,
     ClientDisconnected,
     CounterResponse,
+    Event,
     Outcome,
     PeerMessage,
     ResponseStarted,
@@ -15,47 +17,90 @@
 from gateway.policy.settings import Plan
 from gateway.policy.timers import TimerKind, TimerToken
 from tests.support.endpoints import create_endpoint, snapshot
-from tests.support.policy_harness import PolicyHarness, only_attempt_in
-
-
-def test_every_pending_request_is_finished_before_its_deadline() -> None:
-    w = PolicyHarness.without_quotas()
-    send = only_attempt_in(w.request("wipe", remaining_ms=3000))
-    w.pass_time(2960)
-    ends = [(t, a) for t, a in w.log if isinstance(a, Fail) and a.request_id == send.request_id]
-    assert len(ends) == 1
-    assert ends[0][0] <= 13_000
-    assert w.end_attempt(send, Outcome.TIMED_OUT) == []
-
-
-def test_extreme_settings_are_survived() -> None:
-    for spread in (0, 1, 5000):
-        for rate in (0.01, 10_000.0):
-            for gateways in (1, 1000):
-                plan = Plan("basic", rate=rate, burst=rate)
-                w = PolicyHarness(
-                    [create_endpoint(1)], plans=(plan,), gateway_count=gateways, gateway_index=gateways - 1
-                )
-                for life in (0, 3000):
-                    w.request(gateway_set_size=spread, remaining_ms=life)
-                    w.pass_time(4000)
-                assert not w.policy.requests
-    none = PolicyHarness(gateway_count=1000)
-    none.deliver(snapshot())
-    none.request(gateway_set_size=1, remaining_ms=1000)
-    none.pass_time(2000)
-    assert not none.policy.requests
-
-
-def test_events_of_unknown_requests_and_calls_are_survived() -> None:
-    w = PolicyHarness.without_quotas()
-    w.deliver(AttemptEnded("nobody", 0, 9, Outcome.OK, 1, True))
-    w.deliver(ClientDisconnected("nobody"))
-    w.deliver(TimerFired(TimerToken(TimerKind.REQUEST, "unwanted")))
-    w.deliver(CounterResponse("nothing", Outcome.OK, 1))
-    w.deliver(PeerMessage(1, b"\xff\x00"))
-    w.deliver(ResponseStarted("nobody", 0, 1))
-    send = only_attempt_in(w.request("no such class", "no such plan"))
-    w.deliver(ClientDisconnected(send.request_id))
-    assert w.end_attempt(send, Outcome.TIMED_OUT) == []
-    w.end_attempt(send, Outcome.TIMED_OUT)
+from tests.support.policy_harness import PolicyHarness, failures_in, only_attempt_in
+from tests.support.policy_settings import UNSAFE
+
+
+def test_every_pending_request_is_finished_before_its_deadline(unlimited_harness: PolicyHarness) -> None:
+    harness = unlimited_harness
+    deadline = harness.now + 3000
+    attempt = only_attempt_in(harness.request(UNSAFE.name, remaining_ms=3000))
+
+    harness.pass_time(2960)
+
+    failures = failures_in(harness.actions)
+    assert [failure.request_id for failure in failures] == [attempt.request_id]
+    failed_at = [at for at, action in harness.log if action == failures[0]]
+    assert failed_at[0] <= deadline
+    assert harness.end_attempt(attempt, Outcome.TIMED_OUT) == []
+
+
+@pytest.mark.parametrize("gateway_set_size", [0, 1, 5000])
+@pytest.mark.parametrize("rate", [0.01, 10_000.0])
+@pytest.mark.parametrize("gateway_count", [1, 1000])
+def test_requests_are_finished_under_extreme_settings(
+    gateway_set_size: int, rate: float, gateway_count: int
+) -> None:
+    harness = PolicyHarness(
+        [create_endpoint(1)],
+        plans=(Plan("basic", rate=rate, burst=rate),),
+        gateway_count=gateway_count,
+        gateway_index=gateway_count - 1,
+    )
+
+    for remaining_ms in (0, 3000):
+        harness.request(gateway_set_size=gateway_set_size, remaining_ms=remaining_ms)
+        harness.pass_time(4000)
+
+    assert not harness.policy.requests
+
+
+def test_requests_are_finished_without_any_backend() -> None:
+    harness = PolicyHarness(gateway_count=1000)
+    harness.deliver(snapshot())
+
+    harness.request(gateway_set_size=1, remaining_ms=1000)
+    harness.pass_time(2000)
+
+    assert not harness.policy.requests
+
+
+@pytest.mark.parametrize(
+    "event",
+    [
+        AttemptEnded(
+            "unknown",
+            attempt_number=0,
+            backend_id=9,
+            outcome=Outcome.OK,
+            latency_ms=1,
+            request_finished=True,
+        ),
+        ClientDisconnected("unknown"),
+        TimerFired(TimerToken(TimerKind.REQUEST, "unknown")),
+        CounterResponse("unknown", Outcome.OK, 1),
+        PeerMessage(1, b"\xff\x00"),
+        ResponseStarted("unknown", attempt_number=0, backend_id=1),
+    ],
+    ids=lambda event: type(event).__name__,
+)
+def test_an_event_of_an_unknown_request_or_call_is_ignored(
+    unlimited_harness: PolicyHarness, event: Event
+) -> None:
+    assert unlimited_harness.deliver(event) == []
+    assert only_attempt_in(unlimited_harness.request())
+
+
+def test_a_request_of_an_unknown_class_and_plan_is_forwarded(unlimited_harness: PolicyHarness) -> None:
+    assert only_attempt_in(unlimited_harness.request("no such class", "no such plan"))
+
+
+def test_the_end_of_a_disconnected_client_s_attempt_has_no_consequence(
+    unlimited_harness: PolicyHarness,
+) -> None:
+    harness = unlimited_harness
+    attempt = only_attempt_in(harness.request("no such class", "no such plan"))
+    harness.deliver(ClientDisconnected(attempt.request_id))
+
+    assert harness.end_attempt(attempt, Outcome.TIMED_OUT) == []
+    assert harness.end_attempt(attempt, Outcome.TIMED_OUT) == [], "an attempt may be reported twice"
--- a/tests/policy/test_safety_rules.py
+++ b/tests/policy/test_safety_rules.py
@@ -2,175 +2,324 @@
 
 from __future__ import annotations
 
+import math
 import os
 import subprocess
 import sys
+from dataclasses import dataclass, field
+from enum import Enum
 from pathlib import Path
+from typing import NamedTuple
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from gateway.policy.actions import Action, CancelAttempt, Fail, IncrementCounter, Reject, StartAttempt
-from gateway.policy.events import (
-    AttemptEnded,
-    ClientDisconnected,
-    CounterResponse,
-    EndpointState,
-    Outcome,
-)
-from tests.support.endpoints import create_endpoint, delta
+from gateway.policy.events import AttemptEnded, ClientDisconnected, Outcome
+from tests.support.endpoints import DRAINING, READY, REMOVED, create_endpoint, delta
 from tests.support.policy_harness import PolicyHarness, TimedAction
-from tests.support.policy_settings import FIRM, IDEMPOTENT, UNSAFE, WITH_KEY
+from tests.support.policy_settings import BASIC, FIRM, IDEMPOTENT, SAFETY_RULES, UNSAFE, WITH_KEY
 
-NEVER_RAN = {Outcome.QUEUE_FULL, Outcome.CONNECT_ERROR, Outcome.NOT_STARTED}
 OUTCOMES = list(Outcome)
+OUTCOMES_WITHOUT_RUN = {Outcome.QUEUE_FULL, Outcome.CONNECT_ERROR, Outcome.NOT_STARTED}
+CLASS_NAMES = (IDEMPOTENT.name, WITH_KEY.name, UNSAFE.name)
+STATES = (READY, DRAINING, REMOVED)
+BACKEND_COUNT = 5
+CELL_COUNT = 2
+MAX_ATTEMPTS = 3
+GATEWAY_COUNT = 2
+FINISH_TOLERANCE_MS = 8.0
+"""How late after its deadline a request may get its final response."""
+
+
+class StepKind(Enum):
+    """What happens at one step of a random history."""
+
+    REQUEST = "r"
+    END_ATTEMPT = "o"
+    PASS_TIME = "t"
+    CHANGE_LIST = "l"
+    COUNTER_RESPONSE = "c"
+    DISCONNECT = "x"
+
+
+class Step(NamedTuple):
+    """One step; its kind says what the choice and the amount stand for."""
+
+    kind: StepKind
+    choice: int
+    amount: int
+
+
 STEPS = st.lists(
-    st.tuples(st.sampled_from("rrrrroootlcx"), st.integers(0, 7), st.integers(0, 400)),
+    st.builds(Step, st.sampled_from("rrrrroootlcx").map(StepKind), st.integers(0, 7), st.integers(0, 400)),
     min_size=20,
     max_size=150,
 )
 
 
-class Referee:
-    """Keeps the rules' books from outside while a random history is played."""
+@dataclass
+class ObservedAttempt:
+    """An attempt that the policy started."""
 
-    def __init__(self, seed: int, may_duplicate: bool, started: bool) -> None:
-        self.world = PolicyHarness(
-            [create_endpoint(i, cell=i % 2) for i in range(5)], seed=seed, hedging_allowed=may_duplicate
-        )
-        self.may_duplicate = may_duplicate
-        self.asked: dict[str, tuple[str, float]] = {}
-        self.final: set[str] = set()
-        self.sent: dict[str, list[tuple[int, float, Outcome | None]]] = {}
-        self.calls: list[IncrementCounter] = []
-        self.states = dict.fromkeys(range(5), EndpointState.READY)
-        self.told_at = dict.fromkeys(range(5), -1000000000.0)
-        self.ceiling, self.ceiling_at = 0.0, self.world.now
-        if started:
-            self.step("t", 0, 400)
+    backend_id: int
+    started_at: float
+    outcome: Outcome | None = None
+    """None while it is in flight."""
+
+    @property
+    def may_have_run(self) -> bool:
+        """Whether the backend may have processed it."""
+        return self.outcome not in OUTCOMES_WITHOUT_RUN
+
+    @property
+    def cell(self) -> int:
+        """The cell of its backend."""
+        return self.backend_id % CELL_COUNT
+
+
+@dataclass
+class ObservedRequest:
+    """A request, its attempts, and whether it has had its final response."""
+
+    request_class: str
+    deadline: float
+    is_finished: bool = False
+    attempts: list[ObservedAttempt] = field(default_factory=list)
+
+    def attempts_that_may_have_run(self) -> list[ObservedAttempt]:
+        """The attempts after which the class restricts what may follow."""
+        return [attempt for attempt in self.attempts if attempt.may_have_run]
+
+
+class OpenAttempt(NamedTuple):
+    """Identifies an attempt that is in flight."""
+
+    request_id: str
+    number: int
+
+
+class HardLimitMeter:
+    """The most that one gateway may forward under the hard limit of the plan FIRM."""
+
+    def __init__(self, now: float) -> None:
+        self.tokens = 0.0
+        self.refilled_at = now
+
+    def take(self, now: float) -> None:
+        """Count a request that was forwarded; it must have a token."""
+        burst = FIRM.hard_limit_burst / GATEWAY_COUNT
+        earned = (now - self.refilled_at) / 1000 * (FIRM.hard_limit_rate / GATEWAY_COUNT)
+        self.tokens = min(burst, self.tokens + earned) - 1
+        self.refilled_at = now
+        assert self.tokens >= -1e-6, "more than this gateway's share of the hard limit"
+
+
+class SafetyChecker:
+    """Plays a random history and checks the safety rules at every action of the policy."""
+
+    def __init__(self, seed: int, *, hedging_allowed: bool) -> None:
+        endpoints = [create_endpoint(number, cell=number % CELL_COUNT) for number in range(BACKEND_COUNT)]
+        self.harness = PolicyHarness(endpoints, seed=seed, hedging_allowed=hedging_allowed)
+        self.hedging_allowed = hedging_allowed
+        self.requests: dict[str, ObservedRequest] = {}
+        self.counter_calls: list[IncrementCounter] = []
+        self.states = dict.fromkeys(range(BACKEND_COUNT), READY)
+        self.notified_at = dict.fromkeys(range(BACKEND_COUNT), -math.inf)
+        self.hard_limit = HardLimitMeter(self.harness.now)
 
     def check(self, actions: list[Action]) -> None:
-        now = self.world.now
+        """Check actions that the policy has just returned."""
         for action in actions:
-            if isinstance(action, StartAttempt):
-                name, expires = self.asked[action.request_id]
-                tries = self.sent.setdefault(action.request_id, [])
-                assert action.request_id not in self.final
-                assert now <= expires
-                assert len(tries) < 3
-                assert self.may_duplicate or all(o is not None for _, _, o in tries)
-                ran = [(b, t) for b, t, o in tries if o not in NEVER_RAN]
-                assert name != "wipe" or not ran
-                if name == "order":
-                    assert all(
-                        b % 2 == action.backend_id % 2 and now - t <= WITH_KEY.deduplication_window_ms
-                        for b, t in ran
-                    )
-                ready = self.states[action.backend_id] is EndpointState.READY
-                assert ready or now - self.told_at[action.backend_id] <= 1000
-                if not tries:
-                    self.ceiling = min(20.0, self.ceiling + (now - self.ceiling_at) / 1000 * 10) - 1
-                    self.ceiling_at = now
-                    assert self.ceiling >= -1e-6, "more than this gateway's part of the ceiling"
-                tries.append((action.backend_id, now, None))
-            elif isinstance(action, Reject | Fail):
-                assert action.request_id not in self.final
-                name, expires = self.asked[action.request_id]
-                assert now <= expires + 8
-                ran = [(b, t) for b, t, o in self.sent.get(action.request_id, []) if o not in NEVER_RAN]
-                assert isinstance(action, Fail) or name == "view" or not ran
-                self.final.add(action.request_id)
-            elif isinstance(action, CancelAttempt):
-                assert action.attempt_number < len(self.sent[action.request_id])
-            elif isinstance(action, IncrementCounter):
-                self.calls.append(action)
+            match action:
+                case StartAttempt():
+                    self._check_attempt(action)
+                case Reject() | Fail():
+                    self._check_final_response(action)
+                case CancelAttempt():
+                    assert action.attempt_number < len(self.requests[action.request_id].attempts)
+                case IncrementCounter():
+                    self.counter_calls.append(action)
+
+    def _check_attempt(self, action: StartAttempt) -> None:
+        now = self.harness.now
+        request = self.requests[action.request_id]
+        attempt = ObservedAttempt(action.backend_id, now)
+        assert not request.is_finished
+        assert now <= request.deadline
+        assert len(request.attempts) < MAX_ATTEMPTS
+        assert self.hedging_allowed or all(earlier.outcome is not None for earlier in request.attempts)
+        self._check_repetition(request, attempt)
+        is_ready = self.states[action.backend_id] is READY
+        grace_ms = SAFETY_RULES.drain_grace_ms
+        assert is_ready or now - self.notified_at[action.backend_id] <= grace_ms
+        if not request.attempts:
+            self.hard_limit.take(now)
+        request.attempts.append(attempt)
+
+    @staticmethod
+    def _check_repetition(request: ObservedRequest, attempt: ObservedAttempt) -> None:
+        earlier_attempts = request.attempts_that_may_have_run()
+        assert request.request_class != UNSAFE.name or not earlier_attempts
+        if request.request_class == WITH_KEY.name:
+            for earlier in earlier_attempts:
+                assert earlier.cell == attempt.cell
+                assert attempt.started_at - earlier.started_at <= WITH_KEY.deduplication_window_ms
+
+    def _check_final_response(self, action: Reject | Fail) -> None:
+        request = self.requests[action.request_id]
+        assert not request.is_finished
+        assert self.harness.now <= request.deadline + FINISH_TOLERANCE_MS
+        is_safe_to_resend = (
+            request.request_class == IDEMPOTENT.name or not request.attempts_that_may_have_run()
+        )
+        assert isinstance(action, Fail) or is_safe_to_resend
+        request.is_finished = True
+
+    def play(self, step: Step) -> None:
+        """Let one step happen, if it is possible now."""
+        match step.kind:
+            case StepKind.REQUEST:
+                self._request(CLASS_NAMES[step.choice % 3], 500 + step.amount * 5)
+            case StepKind.END_ATTEMPT:
+                if open_attempts := self._open_attempts():
+                    self._end_attempt(open_attempts[step.amount % len(open_attempts)], OUTCOMES[step.choice])
+            case StepKind.PASS_TIME:
+                self.pass_time(step.amount)
+            case StepKind.CHANGE_LIST:
+                self._change_list(step)
+            case StepKind.COUNTER_RESPONSE:
+                if self.counter_calls:
+                    call = self.counter_calls.pop(0)
+                    total = step.amount / 10
+                    self.check(self.harness.respond_to_counter(call, total, OUTCOMES[step.choice]))
+            case StepKind.DISCONNECT:
+                self._disconnect(step.amount)
+
+    def pass_time(self, milliseconds: float) -> None:
+        """Let time pass; attempts that are in flight at their request's deadline time out."""
+        for _ in range(int(milliseconds // 50) + 1):
+            self.check(self.harness.pass_time(50))
+            for attempt in self._open_attempts():
+                if self.harness.now >= self.requests[attempt.request_id].deadline:
+                    self._end_attempt(attempt, Outcome.TIMED_OUT)
 
-    def out(self) -> list[tuple[str, int]]:
-        return [(r, i) for r, tries in self.sent.items() for i, t in enumerate(tries) if t[2] is None]
+    def _request(self, request_class: str, remaining_ms: float) -> None:
+        request_id = self.harness.next_request_id
+        self.requests[request_id] = ObservedRequest(request_class, self.harness.now + remaining_ms)
+        self.check(self.harness.request(request_class, FIRM.name, remaining_ms=remaining_ms))
 
-    def end(self, request: str, attempt: int, outcome: Outcome) -> None:
-        backend, sent_at, _ = self.sent[request][attempt]
-        self.sent[request][attempt] = (backend, sent_at, outcome)
+    def _open_attempts(self) -> list[OpenAttempt]:
+        return [
+            OpenAttempt(request_id, number)
+            for request_id, request in self.requests.items()
+            for number, attempt in enumerate(request.attempts)
+            if attempt.outcome is None
+        ]
+
+    def _end_attempt(self, attempt: OpenAttempt, outcome: Outcome) -> None:
+        request = self.requests[attempt.request_id]
+        observed = request.attempts[attempt.number]
+        observed.outcome = outcome
         if outcome is Outcome.OK:
-            self.final.add(request)
-        finished = request in self.final
-        self.check(self.world.deliver(AttemptEnded(request, attempt, backend, outcome, 1, finished)))
-
-    def step(self, what: str, which: int, amount: int) -> None:
-        world = self.world
-        if what == "r":
-            name = (IDEMPOTENT, WITH_KEY, UNSAFE)[which % 3].name
-            self.asked[world.next_request_id] = (name, world.now + 500 + amount * 5)
-            self.check(world.request(name, FIRM.name, remaining_ms=500 + amount * 5))
-        elif what == "o" and (out := self.out()):
-            self.end(*out[amount % len(out)], OUTCOMES[which])
-        elif what == "t":
-            self.pass_time(amount)
-        elif what == "l":
-            state = (EndpointState.READY, EndpointState.DRAINING, EndpointState.REMOVED)[which % 3]
-            backend = amount % 5
-            if self.states[backend] is EndpointState.READY:
-                self.told_at[backend] = world.now
-            self.states[backend] = state
-            started = world.now - 100 if which > 4 else 0.0
-            self.check(
-                world.deliver(delta(create_endpoint(backend, state, started_at=started, cell=backend % 2)))
-            )
-        elif what == "c" and self.calls:
-            call = self.calls.pop(0)
-            self.check(world.deliver(CounterResponse(call.name, OUTCOMES[which], amount / 10)))
-        elif what == "x" and (left := [r for r in self.sent if r not in self.final]):
-            self.final.add(left[amount % len(left)])
-            self.check(world.deliver(ClientDisconnected(left[amount % len(left)])))
-
-    def pass_time(self, amount: float) -> None:
-        for _ in range(int(amount // 50) + 1):
-            self.check(self.world.pass_time(50))
-            for request, attempt in self.out():
-                if self.world.now >= self.asked[request][1]:
-                    self.end(request, attempt, Outcome.TIMED_OUT)
+            request.is_finished = True
+        ended = AttemptEnded(
+            request_id=attempt.request_id,
+            attempt_number=attempt.number,
+            backend_id=observed.backend_id,
+            outcome=outcome,
+            latency_ms=1,
+            request_finished=request.is_finished,
+        )
+        self.check(self.harness.deliver(ended))
+
+    def _change_list(self, step: Step) -> None:
+        now = self.harness.now
+        state = STATES[step.choice % 3]
+        backend_id = step.amount % BACKEND_COUNT
+        if self.states[backend_id] is READY:
+            self.notified_at[backend_id] = now
+        self.states[backend_id] = state
+        started_at = now - 100 if step.choice > 4 else 0.0
+        endpoint = create_endpoint(backend_id, state, started_at=started_at, cell=backend_id % CELL_COUNT)
+        self.check(self.harness.deliver(delta(endpoint)))
+
+    def _disconnect(self, amount: int) -> None:
+        in_flight = [
+            request_id
+            for request_id, request in self.requests.items()
+            if request.attempts and not request.is_finished
+        ]
+        if not in_flight:
+            return
+        request_id = in_flight[amount % len(in_flight)]
+        self.requests[request_id].is_finished = True
+        self.check(self.harness.deliver(ClientDisconnected(request_id)))
 
 
 @settings(max_examples=150)
-@given(STEPS, st.integers(0, 2**31), st.booleans(), st.booleans())
+@given(
+    steps=STEPS,
+    seed=st.integers(0, 2**31),
+    hedging_allowed=st.booleans(),
+    has_run_before=st.booleans(),
+)
 def test_the_five_safety_rules_hold(
-    steps: list[tuple[str, int, int]], seed: int, double: bool, started: bool
+    steps: list[Step], seed: int, hedging_allowed: bool, has_run_before: bool
 ) -> None:
-    referee = Referee(seed, double, started)
+    checker = SafetyChecker(seed, hedging_allowed=hedging_allowed)
+    if has_run_before:
+        checker.pass_time(400)
+
     for step in steps:
-        referee.step(*step)
-    referee.pass_time(4000)
-    assert set(referee.asked) == referee.final, "every request has its one final response"
-    assert not referee.world.policy.requests
-
-
-def history(seed: int) -> list[TimedAction]:
-    world = PolicyHarness(seed=seed)
-    for i in range(400):
-        for action in world.request(
-            ("view", "order", "wipe")[i % 3], ("basic", "firm")[i % 2], customer=f"c{i % 17}"
-        ):
-            if isinstance(action, StartAttempt) and i % 5:
-                world.end_attempt(action, OUTCOMES[i % 4])
+        checker.play(step)
+    checker.pass_time(4000)
+
+    for request_id, request in checker.requests.items():
+        assert request.is_finished, f"{request_id} has had no final response"
+    assert not checker.harness.policy.requests
+
+
+def play_fixed_history(seed: int) -> list[TimedAction]:
+    """Four hundred requests of all classes with outcomes of many kinds; returns all actions."""
+    harness = PolicyHarness(seed=seed)
+    for number in range(400):
+        request_class = CLASS_NAMES[number % 3]
+        plan = (BASIC.name, FIRM.name)[number % 2]
+        for action in harness.request(request_class, plan, customer=f"c{number % 17}"):
+            if isinstance(action, StartAttempt) and number % 5:
+                harness.end_attempt(action, OUTCOMES[number % 4])
             elif isinstance(action, IncrementCounter):
-                world.deliver(CounterResponse(action.name, OUTCOMES[i % 2 * 3], i / 100))
-        world.pass_time(60)
-    return world.log
+                harness.respond_to_counter(action, number / 100, OUTCOMES[number % 2 * 3])
+        harness.pass_time(60)
+    return harness.log
 
 
-def test_the_same_events_give_the_same_actions_under_other_hash_seeds() -> None:
+DIGEST_OF_HISTORY = """
+import hashlib
+from tests.policy.test_safety_rules import play_fixed_history
+print(hashlib.sha256(repr(play_fixed_history(7)).encode()).hexdigest())
+"""
+
+
+def digest_with_hash_seed(hash_seed: str) -> str:
+    """The digest of a fixed history that is played by a process with that hash seed."""
     root = Path(__file__).parents[2]
-    code = (
-        "import hashlib, tests.policy.test_safety_rules as t; "
-        "print(hashlib.sha256(repr(t.history(7)).encode()).hexdigest())"
+    process = subprocess.run(
+        [sys.executable, "-c", DIGEST_OF_HISTORY],
+        env={**os.environ, "PYTHONHASHSEED": hash_seed, "PYTHONPATH": str(root)},
+        capture_output=True,
+        text=True,
+        check=True,
     )
-    digests = set()
-    for hash_seed in ("1", "2", "77"):
-        path = str(root)
-        env = {**os.environ, "PYTHONHASHSEED": hash_seed, "PYTHONPATH": path}
-        run = subprocess.run(
-            [sys.executable, "-c", code], env=env, capture_output=True, text=True, check=True
-        )
-        digests.add(run.stdout)
+    return process.stdout
+
+
+def test_the_same_events_give_the_same_actions() -> None:
+    assert play_fixed_history(7) == play_fixed_history(7)
+
+
+def test_the_same_events_give_the_same_actions_under_other_hash_seeds() -> None:
+    digests = {digest_with_hash_seed(hash_seed) for hash_seed in ("1", "2", "77")}
+
     assert len(digests) == 1
-    assert history(7) == history(7)
