--- a/tests/support/fleet_customers.py
+++ b/tests/support/fleet_customers.py
@@ -37,7 +37,7 @@
 
     @classmethod
     def full(cls, plan: Plan, now: float) -> ReferenceQuota:
-        """A quota whose whole burst is available."""
+        """A quota whose burst is fully available."""
         return cls(plan, plan.burst, now)
 
     def take(self, now: float) -> bool:
