--- a/tests/policy/test_load_balancing.py
+++ b/tests/policy/test_load_balancing.py
@@ -2,18 +2,13 @@
 
 from __future__ import annotations
 
+import pytest
+
 from gateway.policy.actions import SetTimer, StartAttempt, WatchEndpoints
-from gateway.policy.events import (
-    Endpoint,
-    EndpointState,
-    EndpointUpdate,
-    Outcome,
-    TimerFired,
-    UpdateKind,
-)
+from gateway.policy.events import Endpoint, EndpointUpdate, Outcome, TimerFired, UpdateKind
 from gateway.policy.settings import Plan
 from gateway.policy.timers import TimerKind, TimerToken
-from tests.support.endpoints import create_endpoint, delta, snapshot
+from tests.support.endpoints import DRAINING, REMOVED, create_endpoint, delta, ready_endpoints, snapshot
 from tests.support.policy_harness import (
     PolicyHarness,
     attempts_in,
@@ -22,141 +17,200 @@
     rejections_in,
     serve_steadily,
 )
+from tests.support.policy_settings import SAFETY_RULES
 
+FREE = Plan("free")
+WATCH_TIMER = TimerToken(TimerKind.WATCH_ENDPOINTS)
 
-def further_attempts(entries: list[Endpoint]) -> list[int]:
-    """Where the second attempts go of requests whose first one may have run."""
-    went = []
-    for seed in range(40):
-        w = PolicyHarness(entries, seed=seed, plans=(Plan("free"),))
-        for number in range(5):
-            for first in attempts_in(w.request(plan="free", customer=f"c{number}")):
-                went += [
-                    again.backend_id
-                    for again in attempts_in(
-                        w.end_attempt(first, Outcome.CONNECTION_RESET, request_finished=False)
-                    )
-                ]
-            w.pass_time(100)
-    return went
-
-
-def test_an_empty_endpoint_list_rejects_at_once() -> None:
-    w = PolicyHarness.without_quotas()
-    w.deliver(snapshot())
-    assert rejections_in(w.request())
-    assert not attempts_in(w.request())
-
-
-def test_draining_and_removed_backends_get_nothing_new() -> None:
-    w = PolicyHarness.without_quotas()
-    w.deliver(delta(create_endpoint(1, EndpointState.DRAINING)))
-    w.deliver(delta(create_endpoint(2, EndpointState.REMOVED)))
-    assert backends_used(w, 5) == {3}
-
-
-def test_a_snapshot_removes_the_backends_that_it_omits() -> None:
-    w = PolicyHarness.without_quotas()
-    w.deliver(snapshot(create_endpoint(2)))
-    assert backends_used(w, 5) == {2}
-
-
-def test_a_failed_watch_keeps_the_last_list_and_is_opened_again_later() -> None:
-    w = PolicyHarness.without_quotas(polls_endpoints=True)
-    w.deliver(EndpointUpdate(UpdateKind.WATCH_FAILED, ()))
-    assert only_attempt_in(w.request())
-    timers = [
-        a for _, a in w.log if isinstance(a, SetTimer) and a.token == TimerToken(TimerKind.WATCH_ENDPOINTS)
+
+def subset_ids(harness: PolicyHarness) -> set[int]:
+    backend_ids = [backend.id for backend in harness.policy.subset]
+    assert len(backend_ids) == len(set(backend_ids))
+    return set(backend_ids)
+
+
+def create_fleet(gateway_count: int, endpoints: list[Endpoint]) -> list[PolicyHarness]:
+    """All gateways of a fleet, with the same endpoint list."""
+    return [
+        PolicyHarness.without_quotas(endpoints, gateway_count=gateway_count, gateway_index=index)
+        for index in range(gateway_count)
     ]
-    assert timers
-    assert any(
-        isinstance(a, WatchEndpoints) for a in w.deliver(TimerFired(TimerToken(TimerKind.WATCH_ENDPOINTS)))
-    )
+
+
+def test_an_empty_endpoint_list_rejects_at_once(unlimited_harness: PolicyHarness) -> None:
+    unlimited_harness.deliver(snapshot())
+
+    actions = unlimited_harness.request()
+
+    assert rejections_in(actions)
+    assert not attempts_in(actions)
+    assert not attempts_in(unlimited_harness.request())
+
+
+def test_draining_and_removed_backends_get_no_attempts(unlimited_harness: PolicyHarness) -> None:
+    unlimited_harness.deliver(delta(create_endpoint(1, DRAINING)))
+    unlimited_harness.deliver(delta(create_endpoint(2, REMOVED)))
+
+    assert backends_used(unlimited_harness, 5) == {3}
+
+
+def test_a_snapshot_removes_the_backends_that_it_omits(unlimited_harness: PolicyHarness) -> None:
+    unlimited_harness.deliver(snapshot(create_endpoint(2)))
+
+    assert backends_used(unlimited_harness, 5) == {2}
+
+
+def test_a_failed_watch_leaves_the_last_list_in_force() -> None:
+    harness = PolicyHarness.without_quotas(polls_endpoints=True)
+
+    harness.deliver(EndpointUpdate(UpdateKind.WATCH_FAILED, ()))
+
+    assert only_attempt_in(harness.request())
+
+
+def test_a_failed_watch_is_opened_again_by_a_timer() -> None:
+    harness = PolicyHarness.without_quotas(polls_endpoints=True)
+
+    harness.deliver(EndpointUpdate(UpdateKind.WATCH_FAILED, ()))
+
+    timers = [action for action in harness.actions if isinstance(action, SetTimer)]
+    assert any(timer.token == WATCH_TIMER for timer in timers)
+    actions = harness.deliver(TimerFired(WATCH_TIMER))
+    assert any(isinstance(action, WatchEndpoints) for action in actions)
 
 
 def test_each_gateway_of_a_large_fleet_uses_few_backends_and_all_are_covered_evenly() -> None:
-    """Danger: met once a minute each, no backend can be judged."""
-    fleet, met = [create_endpoint(i) for i in range(70)], dict.fromkeys(range(70), 0)
-    for index in range(300):
-        w = PolicyHarness.without_quotas(fleet, gateway_count=300, gateway_index=index)
-        assert 8 <= len(w.policy.subset) <= 16
-        for b in w.policy.subset:
-            met[b.id] += 1
-    assert min(met.values()) >= 0.6 * 300 * 8 / 70
-    assert max(met.values()) <= 1.4 * 300 * 8 / 70
-
-
-def test_forty_gateways_use_few_backends_each_and_keep_them_when_others_change() -> None:
-    """Danger: sixty backends met once in ten seconds are never judged, and each request pays a handshake."""
-    fleet = [create_endpoint(i) for i in range(60)]
-    worlds = [
-        PolicyHarness.without_quotas(fleet, gateway_count=40, gateway_index=index) for index in range(40)
-    ]
-    before = [{b.id for b in w.policy.subset} for w in worlds]
-    met = [sum(i in used for used in before) for i in range(60)]
-    assert all(len(used) <= 20 for used in before)
-    assert min(met) >= 8
-    assert max(met) <= 12
-    for w in worlds:
-        w.deliver(delta(create_endpoint(60), create_endpoint(61), create_endpoint(62)))
-    kept = [len({b.id for b in w.policy.subset} & used) for w, used in zip(worlds, before, strict=True)]
-    assert sum(kept) >= 0.8 * sum(map(len, before))
-
-
-def test_a_fleet_that_is_all_cold_serves_a_little_and_then_all() -> None:
-    w = PolicyHarness.without_quotas(
-        [
-            create_endpoint(1, started_at=9_900),
-            create_endpoint(2, started_at=9_900),
-            create_endpoint(3, started_at=9_900),
-        ]
+    """A gateway that meets each backend once a minute cannot tell an outlier from the others."""
+    backend_count = 70
+    gateway_count = 300
+    fleet = create_fleet(gateway_count, ready_endpoints(range(backend_count), cells=1))
+
+    subsets = [subset_ids(harness) for harness in fleet]
+
+    assert all(8 <= len(subset) <= 16 for subset in subsets)
+    users = [sum(backend_id in subset for subset in subsets) for backend_id in range(backend_count)]
+    assert min(users) >= 0.6 * gateway_count * 8 / backend_count
+    assert max(users) <= 1.4 * gateway_count * 8 / backend_count
+
+
+def test_forty_gateways_use_few_backends_each_and_cover_all_evenly() -> None:
+    """A backend met once in ten seconds cannot be judged, and each attempt there opens a connection."""
+    fleet = create_fleet(40, ready_endpoints(range(60), cells=1))
+
+    subsets = [subset_ids(harness) for harness in fleet]
+
+    users = [sum(backend_id in subset for subset in subsets) for backend_id in range(60)]
+    assert all(len(subset) <= 20 for subset in subsets)
+    assert min(users) >= 8
+    assert max(users) <= 12
+
+
+def test_a_subset_hardly_changes_with_new_backends() -> None:
+    fleet = create_fleet(40, ready_endpoints(range(60), cells=1))
+    subsets_before = [subset_ids(harness) for harness in fleet]
+
+    for harness in fleet:
+        harness.deliver(delta(create_endpoint(60), create_endpoint(61), create_endpoint(62)))
+
+    subsets_after = [subset_ids(harness) for harness in fleet]
+    common = [len(before & after) for before, after in zip(subsets_before, subsets_after, strict=True)]
+    assert sum(common) >= 0.8 * sum(map(len, subsets_before))
+
+
+def count_served(harness: PolicyHarness, request_count: int) -> int:
+    """Attempts of so many requests, which end at once."""
+    served = 0
+    for _ in range(request_count):
+        for attempt in attempts_in(harness.request()):
+            served += 1
+            harness.end_attempt(attempt)
+        harness.pass_time(105)
+    return served
+
+
+def test_a_fleet_whose_backends_all_warm_up_serves_few_requests_and_then_all() -> None:
+    started_at = 9_900.0  # 100 ms before the first request
+    harness = PolicyHarness.without_quotas(
+        [create_endpoint(backend_id, started_at=started_at) for backend_id in (1, 2, 3)]
     )
-    served = [0, 0]
-    for half in (0, 1):
-        for _ in range(100):
-            for send in attempts_in(w.request()):
-                served[half] += 1
-                w.end_attempt(send)
-            w.pass_time(105)
-    assert 10 < served[0] < 70
-    assert served[1] == 100
-
-
-def test_any_number_of_cold_backends_gets_less_than_it_surely_can_do() -> None:
-    """Danger: many gateways, each with a little for a cold backend, push it over together."""
-    hits = 0
-    for index in range(200):
-        w = PolicyHarness.without_quotas(
-            [create_endpoint(i, started_at=9_990 if i == 5 else 0) for i in range(20)],
-            seed=index,
-            gateway_count=200,
-            gateway_index=index,
+
+    served_first = count_served(harness, 100)
+    served_then = count_served(harness, 100)
+
+    assert 10 < served_first < 70
+    assert served_then == 100
+
+
+def test_all_gateways_together_send_a_new_backend_less_than_its_initial_capacity() -> None:
+    """Slow start must bound the fleet's total: a little from each of many gateways is an overload."""
+    new_backend = 5
+    backend_count = 20
+    gateway_count = 200
+    requests_per_gateway = 10
+    endpoints = ready_endpoints(range(backend_count), cells=1)
+    endpoints[new_backend] = create_endpoint(new_backend, started_at=9_990)
+    attempts = []
+
+    for index in range(gateway_count):
+        harness = PolicyHarness.without_quotas(
+            endpoints, seed=index, gateway_count=gateway_count, gateway_index=index
         )
-        for _ in range(10):
-            send = only_attempt_in(w.request())
-            hits += send.backend_id == 5
-            w.end_attempt(send)
-    assert hits <= 0.2 * 2000 / 20
-
-
-def test_a_cold_backend_gets_little_until_it_is_warm() -> None:
-    """Danger: a cold backend sent a warm one's load by every gateway falls over and stays down."""
-    w = PolicyHarness.without_quotas([create_endpoint(1), create_endpoint(2), create_endpoint(3)])
-    serve_steadily(w, 400)
-    w.deliver(delta(create_endpoint(9, started_at=w.now - 100)))
-    early = [only_attempt_in(w.request()) for _ in range(1)]
-    w.end_attempt(early[0])
-    mark = w.now
-    serve_steadily(w, 50)
-    counts = [a.backend_id for t, a in w.log if t >= mark and isinstance(a, StartAttempt)]
-    assert counts.count(9) <= 0.25 * 0.5 * len(counts)
-    w.pass_time(11_000)
-    assert 9 in backends_used(w, 40)
-
-
-def test_retries_of_what_may_have_run_go_to_warm_backends_where_there_are_some() -> None:
-    """Danger: where many fail, further attempts of all gateways come on top of a cold one's part."""
-    cold = [create_endpoint(number, started_at=5_000) for number in range(10, 16)]  # half warm
-    warm = [create_endpoint(1), create_endpoint(2)]
-    assert set(further_attempts([*warm, *cold])) == {1, 2}
-    assert further_attempts(cold), "and where there are none, to cold ones"
+        for _ in range(requests_per_gateway):
+            attempt = only_attempt_in(harness.request())
+            harness.end_attempt(attempt)
+            attempts.append(attempt.backend_id)
+
+    fair_count = gateway_count * requests_per_gateway / backend_count
+    assert attempts.count(new_backend) <= SAFETY_RULES.initial_capacity * fair_count
+
+
+def test_a_new_backend_gets_few_attempts_until_it_has_warmed_up(unlimited_harness: PolicyHarness) -> None:
+    """A backend that gets its full load while it warms up fails, and again after each restart."""
+    harness = unlimited_harness
+    new_backend = 9
+    serve_steadily(harness, 400)
+    harness.deliver(delta(create_endpoint(new_backend, started_at=harness.now - 100)))
+    log_length = len(harness.log)
+
+    harness.end_attempt(only_attempt_in(harness.request()))
+    serve_steadily(harness, 50)
+
+    attempts = [action for _, action in harness.log[log_length:] if isinstance(action, StartAttempt)]
+    attempts_at_new_backend = [attempt for attempt in attempts if attempt.backend_id == new_backend]
+    assert len(attempts_at_new_backend) <= 0.25 * 0.5 * len(attempts)
+
+    harness.pass_time(11_000)
+
+    assert new_backend in backends_used(harness, 40)
+
+
+def retry_backends(endpoints: list[Endpoint]) -> set[int]:
+    """The backends of the second attempts of requests whose first attempt may have run."""
+    used: set[int] = set()
+    for seed in range(40):
+        harness = PolicyHarness(endpoints, seed=seed, plans=(FREE,))
+        for number in range(5):
+            for first in attempts_in(harness.request(plan=FREE.name, customer=f"c{number}")):
+                retries = harness.end_attempt(first, Outcome.CONNECTION_RESET, request_finished=False)
+                used.update(retry.backend_id for retry in attempts_in(retries))
+            harness.pass_time(100)
+    return used
+
+
+@pytest.fixture
+def warming_endpoints() -> list[Endpoint]:
+    """Backends that have half of their capacity when the harness starts."""
+    return [create_endpoint(backend_id, started_at=5_000) for backend_id in range(10, 16)]
+
+
+def test_retries_of_attempts_that_may_have_run_go_to_warm_backends(
+    warming_endpoints: list[Endpoint],
+) -> None:
+    """While many attempts fail, the retries of all gateways would come on top of a warming backend's load."""
+    warm_endpoints = [create_endpoint(1), create_endpoint(2)]
+
+    assert retry_backends([*warm_endpoints, *warming_endpoints]) == {1, 2}
+
+
+def test_retries_go_to_warming_backends_where_no_other_is_ready(warming_endpoints: list[Endpoint]) -> None:
+    assert retry_backends(warming_endpoints)
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -1,10 +1,9 @@
-"""Outlier detection: backends that fail, hang, or fail one class alone."""
+"""Outlier detection: backends that fail, hang, or fail the requests of one class alone."""
 
 from __future__ import annotations
 
-from gateway.policy.events import (
-    Outcome,
-)
+from gateway.policy.actions import StartAttempt
+from gateway.policy.events import Outcome
 from tests.support.policy_harness import (
     PolicyHarness,
     attempts_in,
@@ -12,63 +11,75 @@
     only_attempt_in,
     serve_steadily,
 )
+from tests.support.policy_settings import IDEMPOTENT, UNSAFE, WITH_KEY
+
+FAULTY_BACKEND = 1
+
+
+def end_attempt_at_faulty_or_good_backend(
+    harness: PolicyHarness, attempt: StartAttempt
+) -> list[StartAttempt]:
+    """End an attempt as its backend does; returns its retries."""
+    harness.pass_time(20)
+    if attempt.backend_id == FAULTY_BACKEND:
+        return attempts_in(harness.end_attempt(attempt, Outcome.FAILED, attempt_number=0))
+    attempt_number = harness.last_attempt_number(attempt.request_id)
+    return attempts_in(harness.end_attempt(attempt, attempt_number=attempt_number))
+
+
+def count_attempts_at_faulty_backend(harness: PolicyHarness, request_count: int) -> int:
+    """Attempts at the faulty backend that so many requests take, with their retries."""
+    faulty_attempts = 0
+    for _ in range(request_count):
+        attempts = [only_attempt_in(harness.request())]
+        while attempts:
+            faulty_attempts += attempts[0].backend_id == FAULTY_BACKEND
+            attempts = end_attempt_at_faulty_or_good_backend(harness, attempts[0])
+    return faulty_attempts
+
+
+def test_a_faulty_backend_is_ejected_and_later_used_again(unlimited_harness: PolicyHarness) -> None:
+    harness = unlimited_harness
+    serve_steadily(harness)
+
+    assert count_attempts_at_faulty_backend(harness, 60) <= 10
+    assert count_attempts_at_faulty_backend(harness, 60) <= 10
 
+    harness.pass_time(20_000)
+
+    assert FAULTY_BACKEND in backends_used(harness, 40)
+
+
+def test_a_hanging_backend_is_avoided_while_its_peers_respond(unlimited_harness: PolicyHarness) -> None:
+    harness = unlimited_harness
+    serve_steadily(harness)
+    hung_attempts = 0
 
-def test_a_failing_backend_is_avoided_and_later_tried_again() -> None:
-    w = PolicyHarness.without_quotas()
-    serve_steadily(w)
-    bad, shares = 1, []
-    for _ in range(2):
-        hits = 0
-        for _ in range(60):
-            send = only_attempt_in(w.request())
-            while True:
-                hits += send.backend_id == bad
-                w.pass_time(20)
-                outcome = Outcome.FAILED if send.backend_id == bad else Outcome.OK
-                again = attempts_in(
-                    w.end_attempt(
-                        send,
-                        outcome,
-                        attempt_number=0
-                        if send.backend_id == bad
-                        else w.last_attempt_number(send.request_id),
-                    )
-                )
-                if not again:
-                    break
-                send = again[0]
-        shares.append(hits)
-    assert shares[0] <= 10
-    assert shares[1] <= 10
-    w.pass_time(20_000)
-    assert bad in backends_used(w, 40)
-
-
-def test_a_hanging_backend_is_avoided_while_its_peers_respond() -> None:
-    w = PolicyHarness.without_quotas()
-    serve_steadily(w)
-    hung = 0
     for _ in range(150):
-        send = only_attempt_in(w.request("wipe", remaining_ms=60_000))
-        w.pass_time(50)
-        if send.backend_id == 1:
-            hung += 1
+        attempt = only_attempt_in(harness.request(UNSAFE.name, remaining_ms=60_000))
+        harness.pass_time(50)
+        if attempt.backend_id == FAULTY_BACKEND:
+            hung_attempts += 1
         else:
-            w.end_attempt(send)
-    assert hung <= 8
-
-
-def test_a_class_that_fails_at_a_backend_is_told_from_the_others() -> None:
-    """Danger: a backend that fails one class alone looks half well, and keeps getting that class."""
-    w = PolicyHarness.without_quotas(max_attempts=1)
-    hits = {"view": 0, "order": 0}
-    for i in range(400):
-        name = "order" if i % 2 else "view"
-        send = only_attempt_in(w.request(name))
-        w.pass_time(20)
-        bad = send.backend_id == 1 and name == "order"
-        w.end_attempt(send, Outcome.FAILED if bad else Outcome.OK)
-        hits[name] += send.backend_id == 1 and i > 100
-    assert hits["order"] <= 8
-    assert hits["view"] >= 25
+            harness.end_attempt(attempt)
+
+    assert hung_attempts <= 8
+
+
+def test_a_backend_that_fails_one_class_is_avoided_for_that_class_alone() -> None:
+    """Scored over all classes it would look half healthy, and would go on getting the class that it fails."""
+    harness = PolicyHarness.without_quotas(max_attempts=1)
+    attempts_at_faulty_backend = {IDEMPOTENT.name: 0, WITH_KEY.name: 0}
+
+    for number in range(400):
+        request_class = WITH_KEY.name if number % 2 else IDEMPOTENT.name
+        attempt = only_attempt_in(harness.request(request_class))
+        harness.pass_time(20)
+        is_at_faulty_backend = attempt.backend_id == FAULTY_BACKEND
+        fails = is_at_faulty_backend and request_class == WITH_KEY.name
+        harness.end_attempt(attempt, Outcome.FAILED if fails else Outcome.OK)
+        if is_at_faulty_backend and number > 100:
+            attempts_at_faulty_backend[request_class] += 1
+
+    assert attempts_at_faulty_backend[WITH_KEY.name] <= 8
+    assert attempts_at_faulty_backend[IDEMPOTENT.name] >= 25
