--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -1,4 +1,4 @@
-"""The endpoint list and a gateway's subset of it: against a plain reference, and at a bounded cost."""
+"""The endpoint list and a gateway's subset of it: compared with a plain reference, and at a bounded cost."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class Update(NamedTuple):
-    """One step of a random history."""
+    """One update of a random history, and the number of parts it is delivered in."""
 
     kind: UpdateKind
     endpoints: list[Endpoint]
@@ -47,18 +47,18 @@
 
 
 def random_snapshot(rng: random.Random, listed: dict[int, Endpoint], limit: int) -> Update:
-    """A new list that keeps few, most or all of the old one."""
-    kept = [endpoint for endpoint in listed.values() if rng.random() < rng.choice((0.1, 0.9, 1.0))]
+    """A new list with few, most or all of the old one's endpoints."""
+    retained = [endpoint for endpoint in listed.values() if rng.random() < rng.choice((0.1, 0.9, 1.0))]
     new = [create_endpoint(rng.randrange(10**6), cell=rng.randrange(9)) for _ in range(limit // 8)]
-    shuffled = [*kept, *new]
+    shuffled = [*retained, *new]
     rng.shuffle(shuffled)
-    endpoints = list({endpoint.backend_id: endpoint for endpoint in shuffled}.values())
+    endpoint_by_id = {endpoint.backend_id: endpoint for endpoint in shuffled}
     kind = rng.choice((UpdateKind.SNAPSHOT, UpdateKind.CACHED))
-    return Update(kind, endpoints, parts=rng.randint(1, 9))
+    return Update(kind, list(endpoint_by_id.values()), parts=rng.randint(1, 9))
 
 
 def random_delta(rng: random.Random, listed: dict[int, Endpoint], limit: int) -> Update:
-    """New backends, restarts, drains and removals: one, two or many."""
+    """One, two or many new backends, restarts, drains and removals."""
     endpoints = []
     for _ in range(rng.choice((1, 1, 2, limit // 3))):
         old = rng.choice(list(listed.values()))
@@ -142,7 +142,7 @@
 
 @pytest.fixture
 def hashes(monkeypatch: pytest.MonkeyPatch) -> HashCounter:
-    """Counts the hashes of all rings, and makes their sort keys count comparisons."""
+    """Counts the hashes of all rings; their sort keys count comparisons."""
     counter = HashCounter()
     sort_key = Ring.sort_key
 
@@ -195,16 +195,16 @@
     )
 
 
-def test_a_change_costs_by_the_logarithm_of_the_list(hashes: HashCounter) -> None:
-    """Danger: a list sorted and hashed at every change holds all requests up for a tenth of a second."""
+def test_the_cost_of_a_change_grows_with_the_logarithm_of_the_list(hashes: HashCounter) -> None:
+    """Sorting and hashing a long list at every change would delay all requests by a tenth of a second."""
     in_short_list = measure_changes(2_000, hashes)
     in_long_list = measure_changes(39_000, hashes)
 
-    assert in_short_list.hashes == 1.0, "each new backend is hashed, once, and no other"
+    assert in_short_list.hashes == 1.0, "only the new backend is hashed, and once"
     assert in_long_list.hashes == 1.0
     assert in_long_list.comparisons < 8 * math.log2(39_000)
     assert in_long_list.comparisons < 2 * in_short_list.comparisons
-    assert in_long_list.created_backends < 4, "the subset changes at its edges only"
+    assert in_long_list.created_backends < 4, "the subset changes at its ends only"
 
 
 def test_a_long_snapshot_is_ordered_in_steps_once_it_is_complete(hashes: HashCounter) -> None:
@@ -214,7 +214,7 @@
     apply_in_parts(subset, UpdateKind.SNAPSHOT, endpoints, parts=313)
 
     assert subset.is_rebuilding
-    assert hashes.count == 0, "none is hashed before all are known"
+    assert hashes.count == 0, "no endpoint is hashed before all are known"
     steps = 0
     while subset.is_rebuilding:
         hashes_before = hashes.count
@@ -225,7 +225,7 @@
     assert steps == math.ceil(20_000 / REBUILD_STEP)
 
 
-def test_a_snapshot_that_hardly_differs_costs_by_the_difference(hashes: HashCounter) -> None:
+def test_the_cost_of_a_snapshot_grows_with_its_difference_from_the_list(hashes: HashCounter) -> None:
     subset = create_subset(1_234, FLEET_SIZE)
     reference = ReferenceSubset(1_234, FLEET_SIZE)
     endpoints = ready_endpoints(range(20_000))
--- a/tests/support/reference_subset.py
+++ b/tests/support/reference_subset.py
@@ -15,7 +15,7 @@
 
 
 class ReferenceSubset:
-    """One gateway's subset of the endpoint list; sorts and hashes the whole list whenever it is read."""
+    """One gateway's subset of the endpoint list; sorts and hashes the complete list whenever it is read."""
 
     def __init__(self, gateway_index: int, gateway_count: int) -> None:
         self.gateway_index = gateway_index
--- /dev/null
+++ b/tests/support/slow_start_fleet.py
@@ -0,0 +1,287 @@
+"""A fleet in virtual time some of whose backends restart together, and what those receive.
+
+Backends work off a queue, fail or hang; the work of a request is the same in all of its attempts.
+"""
+
+from __future__ import annotations
+
+import heapq
+import math
+import random
+from collections import deque
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import NamedTuple
+
+from gateway.policy.actions import Action, CancelAttempt
+from gateway.policy.events import AttemptEnded, Endpoint, EndpointUpdate, Outcome, UpdateKind
+from gateway.policy.settings import Plan, SafetyRules
+from tests.support.endpoints import create_endpoint
+from tests.support.fleet import Conditions, Fleet, FleetEvent
+from tests.support.fleet_customers import MS_PER_S, Customer
+from tests.support.policy_settings import IDEMPOTENT
+
+FREE = Plan("free")
+CONCURRENCY = 2
+"""Requests that a backend processes at once."""
+QUEUE_LENGTH = 40
+"""Requests that may wait at a backend; it rejects more."""
+BACKENDS_PER_CELL = 4
+ROUND_TRIP_MS = 2.0
+FAILURE_MS = 5.0
+"""Latency of a response from a backend that fails at once."""
+LONG_WORK = 3.0
+"""The least work of a long request, in requests of mean work."""
+CUSTOMERS_PER_GATEWAY = 3
+CLIENT_RETRY_DELAY_MS = 60.0
+
+DrawWork = Callable[[random.Random], float]
+"""Draws the work of a request, in requests of mean work."""
+
+
+def mean_work(_: random.Random) -> float:
+    """The same for every request."""
+    return 1.0
+
+
+def uneven_work(rng: random.Random) -> float:
+    """One request in twenty takes three to eight times the mean; the mean of all is 1."""
+    is_long = rng.random() < 0.05
+    return rng.uniform(LONG_WORK, 8.0) if is_long else rng.expovariate(0.95 / 0.725)
+
+
+@dataclass(frozen=True)
+class Scenario:
+    """A fleet, some of whose backends restart together."""
+
+    gateway_count: int
+    backend_count: int
+    restarted_count: int
+    """Backends that restart together, the last of the list."""
+    faulty_count: int
+    """Backends that fail at once or hang, half of them each, the first of the list."""
+    capacity: float = 11.0
+    """Requests of mean work a second that a warm backend processes."""
+    load: float = 0.85
+    """Requested work, as a fraction of the capacity of all backends once they are warm."""
+    burst: float = 1.5
+    """Factor of the load in every third second."""
+    initial_capacity: float = 0.18
+    slow_start_ms: float = 5_000.0
+    overload_multiple: float = 4.0
+    window_ms: float = 1_000.0
+
+    def slow_start_fraction(self, age_ms: float) -> float:
+        """The fraction of its capacity that a backend has at an age."""
+        gained = (1 - self.initial_capacity) * max(0.0, age_ms) / self.slow_start_ms
+        return min(1.0, self.initial_capacity + gained)
+
+    def budget(self, age_ms: float) -> float:
+        """The work that a backend may receive in a window that begins at an age.
+
+        That is N requests of mean work, which the settings allow, and 2 x root of N + 2 for random variation.
+        """
+        capacity = self.overload_multiple * self.slow_start_fraction(age_ms) * self.capacity
+        allowed = capacity * self.window_ms / 1000
+        return allowed + 2 * math.sqrt(allowed) + 2
+
+
+class AttemptKey(NamedTuple):
+    """Identifies an attempt."""
+
+    request_id: str
+    number: int
+
+
+class OpenAttempt(NamedTuple):
+    """An attempt that has not ended."""
+
+    gateway_index: int
+    backend_id: int
+    started_at: float
+
+
+class ReceivedAttempt(NamedTuple):
+    """An attempt that a restarted backend received, at an age of the backend."""
+
+    age_ms: float
+    work: float
+
+
+class BackendResult(NamedTuple):
+    """How an attempt ends at its backend."""
+
+    outcome: Outcome
+    latency_ms: float
+
+
+class BackendQueue:
+    """The requests that a backend processes and those that wait for it."""
+
+    def __init__(self, now: float = 0.0) -> None:
+        self._slots_free_at = [now] * CONCURRENCY
+        self._waiting_until: deque[float] = deque()
+
+    def is_full(self, now: float) -> bool:
+        """Whether no further request may wait."""
+        while self._waiting_until and self._waiting_until[0] <= now:
+            self._waiting_until.popleft()
+        return len(self._waiting_until) >= QUEUE_LENGTH
+
+    def add(self, now: float, work_ms: float) -> float:
+        """Add a request that occupies one of the slots for so long; returns the time of its end."""
+        begins_at = max(now, heapq.heappop(self._slots_free_at))
+        ends_at = begins_at + work_ms
+        heapq.heappush(self._slots_free_at, ends_at)
+        self._waiting_until.append(begins_at)
+        return ends_at
+
+
+class SlowStartFleet(Fleet):
+    """Cancelled attempts end at once, and a hedged request runs beside the first attempt."""
+
+    def __init__(self, scenario: Scenario, seed: int, draw_work: DrawWork) -> None:
+        self.scenario = scenario
+        self.received: dict[int, list[ReceivedAttempt]] = {}
+        """By restarted backend."""
+        self._draw_work = draw_work
+        self._work_rng = random.Random(f"work {seed}")
+        self._work_by_request: dict[str, float] = {}
+        self._restarted_at: dict[int, float] = {}
+        self._queues = [BackendQueue() for _ in range(scenario.backend_count)]
+        self._open_attempts: dict[AttemptKey, OpenAttempt] = {}
+        self._finished_requests: set[str] = set()
+        conditions = Conditions(
+            seed=seed,
+            client_retries=2,
+            client_retry_delay_ms=CLIENT_RETRY_DELAY_MS,
+            backends=tuple(self._endpoint(backend_id, 0.0) for backend_id in range(scenario.backend_count)),
+        )
+        super().__init__(
+            scenario.gateway_count,
+            self._create_customers(seed),
+            conditions,
+            safety_rules=SafetyRules(
+                drain_grace_ms=500.0,
+                initial_capacity=scenario.initial_capacity,
+                slow_start_ms=scenario.slow_start_ms,
+                overload_multiple=scenario.overload_multiple,
+            ),
+            request_classes=(IDEMPOTENT,),
+            counter_available=False,
+            hedging_allowed=True,
+            max_retry_after_ms=CLIENT_RETRY_DELAY_MS,
+        )
+
+    def _create_customers(self, seed: int) -> list[Customer]:
+        """Customers of equal rates; few gateways get most of their requests."""
+        scenario = self.scenario
+        rng = random.Random(f"callers {seed}")
+        fleet_rate = scenario.load * scenario.capacity * scenario.backend_count
+        rate = fleet_rate / CUSTOMERS_PER_GATEWAY / scenario.gateway_count
+        customers = []
+        for number in range(CUSTOMERS_PER_GATEWAY * scenario.gateway_count):
+            set_size = rng.randint(2, 12)
+            gateways = [(number + place) % scenario.gateway_count for place in range(set_size)]
+            rng.shuffle(gateways)
+            customers.append(Customer(f"c{number}", FREE, rate, gateways))
+        return customers
+
+    @staticmethod
+    def _endpoint(backend_id: int, started_at: float) -> Endpoint:
+        return create_endpoint(backend_id, started_at=started_at, cell=backend_id // BACKENDS_PER_CELL)
+
+    def restart_backends(self) -> None:
+        """Restart the last backends, and notify all gateways."""
+        scenario = self.scenario
+        backend_ids = range(scenario.backend_count - scenario.restarted_count, scenario.backend_count)
+        for backend_id in backend_ids:
+            self._restarted_at[backend_id] = self.now
+            self.received[backend_id] = []
+            self._queues[backend_id] = BackendQueue(self.now)
+        endpoints = tuple(self._endpoint(backend_id, self.now) for backend_id in backend_ids)
+        update = EndpointUpdate(UpdateKind.DELTA, endpoints)
+        for index in range(scenario.gateway_count):
+            self.deliver(index, update)
+
+    def send_new_request(self, customer: Customer) -> None:
+        """Send a customer's next request; more come in every third second."""
+        is_burst = int(self.now // MS_PER_S) % 3 == 0
+        self.schedule_next_request(customer, customer.rate * (self.scenario.burst if is_burst else 1.0))
+        self.send_request(customer)
+
+    def carry_out(self, index: int, action: Action) -> None:
+        """End cancelled attempts; all else as in any fleet."""
+        if isinstance(action, CancelAttempt):
+            key = AttemptKey(action.request_id, action.attempt_number)
+            self.scheduler.schedule(0.0, lambda: self._end_attempt(key, Outcome.CANCELLED))
+            return
+        super().carry_out(index, action)
+
+    def start_attempt(self, index: int, request_id: str, backend_id: int) -> None:
+        """Add the attempt to its backend's queue."""
+        request = self.requests[request_id]
+        number = request.attempt_count
+        request.attempt_count += 1
+        if number:
+            self._count_further_attempt(request_id, number)
+        work = self._work_of(request_id)
+        self._record_received(backend_id, work)
+        key = AttemptKey(request_id, number)
+        self._open_attempts[key] = OpenAttempt(index, backend_id, self.now)
+        outcome, latency_ms = self._serve(backend_id, work)
+        self.scheduler.schedule(latency_ms, lambda: self._end_attempt(key, outcome))
+
+    def finish_without_result(self, request_id: str, retry_after_ms: float) -> None:
+        """The request is finished for all of its attempts."""
+        self._finished_requests.add(request_id)
+        super().finish_without_result(request_id, retry_after_ms)
+
+    def _work_of(self, request_id: str) -> float:
+        if request_id not in self._work_by_request:
+            self._work_by_request[request_id] = self._draw_work(self._work_rng)
+        return self._work_by_request[request_id]
+
+    def _count_further_attempt(self, request_id: str, number: int) -> None:
+        earlier = (AttemptKey(request_id, other) for other in range(number))
+        is_hedge = any(key in self._open_attempts for key in earlier)
+        self.count(FleetEvent.HEDGED if is_hedge else FleetEvent.RETRIED)
+
+    def _record_received(self, backend_id: int, work: float) -> None:
+        """Record all that is sent to a restarted backend, including what it rejects."""
+        if backend_id in self._restarted_at:
+            age_ms = self.now - self._restarted_at[backend_id]
+            self.received[backend_id].append(ReceivedAttempt(age_ms, work))
+
+    def _serve(self, backend_id: int, work: float) -> BackendResult:
+        """The result of an attempt that starts now."""
+        if backend_id < self.scenario.faulty_count:
+            hangs = backend_id % 2 == 0
+            if hangs:
+                return BackendResult(Outcome.TIMED_OUT, IDEMPOTENT.deadline_ms)
+            return BackendResult(Outcome.FAILED, FAILURE_MS)
+        queue = self._queues[backend_id]
+        if queue.is_full(self.now):
+            return BackendResult(Outcome.QUEUE_FULL, ROUND_TRIP_MS)
+        fraction = 1.0
+        if backend_id in self._restarted_at:
+            fraction = self.scenario.slow_start_fraction(self.now - self._restarted_at[backend_id])
+        work_ms = work * CONCURRENCY * 1000 / (self.scenario.capacity * fraction)
+        ends_at = queue.add(self.now, work_ms)
+        return BackendResult(Outcome.OK, ends_at - self.now + ROUND_TRIP_MS)
+
+    def _end_attempt(self, key: AttemptKey, outcome: Outcome) -> None:
+        attempt = self._open_attempts.pop(key, None)
+        if attempt is None:
+            return
+        if outcome is Outcome.OK:
+            self._finished_requests.add(key.request_id)
+        ended = AttemptEnded(
+            request_id=key.request_id,
+            attempt_number=key.number,
+            backend_id=attempt.backend_id,
+            outcome=outcome,
+            latency_ms=self.now - attempt.started_at,
+            request_finished=key.request_id in self._finished_requests,
+        )
+        self.deliver(attempt.gateway_index, ended)
