--- a/tests/policy/test_shared_bucket.py
+++ b/tests/policy/test_shared_bucket.py
@@ -49,7 +49,7 @@
 def test_a_period_carries_over_what_was_spent_beyond_the_units_earned(
     bucket: SharedTokenBucket, spent: float, debt: float
 ) -> None:
-    assert bucket.owed(spent) == debt
+    assert bucket.debt(spent) == debt
 
 
 def test_the_counter_still_holds_a_total_in_the_period_after_it() -> None:
--- a/tests/support/policy_harness.py
+++ b/tests/support/policy_harness.py
@@ -161,7 +161,7 @@
 
     def set_counter_capacity(self, capacity: float) -> None:
         """Let the policy estimate that the counter has capacity for this fraction of the calls."""
-        self.policy.usage.capacity = capacity
+        self.policy.counter_throttle.capacity = capacity
 
     def set_response_rate(self, responses_per_s: float) -> None:
         """Let the policy have measured this rate of responses just now."""
