--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -109,7 +109,7 @@
     max_retry_after_ms: float, retry_after_ms: float
 ) -> None:
     harness = PolicyHarness.without_quotas(max_retry_after_ms=max_retry_after_ms)
-    harness.policy.retries.budget = 0.0
+    harness.exhaust_retry_budget()
     attempt = only_attempt_in(harness.request())
 
     actions = harness.end_attempt(attempt, Outcome.CONNECTION_RESET)
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 import math
+from dataclasses import replace
 
 import pytest
 
 from gateway.policy.actions import CancelAttempt, Fail
 from gateway.policy.events import ClientDisconnected, Endpoint, Outcome
-from gateway.policy.settings import DeduplicationScope, Idempotency, RequestClass
 from tests.support.endpoints import DRAINING, create_endpoint
 from tests.support.policy_harness import (
     PolicyHarness,
@@ -74,15 +74,7 @@
 
 
 def test_a_request_with_a_key_is_not_retried_after_its_deduplication_window() -> None:
-    long_running = RequestClass(
-        "order",
-        latency_objective_ms=5000,
-        deadline_ms=9000,
-        priority_weight=1,
-        idempotency=Idempotency.WITH_KEY,
-        deduplication_scope=DeduplicationScope.CELL,
-        deduplication_window_ms=2000,
-    )
+    long_running = replace(WITH_KEY, latency_objective_ms=5000, deadline_ms=9000, priority_weight=1)
     harness = PolicyHarness.without_quotas(TWO_BACKENDS_OF_ONE_CELL, request_classes=(long_running,))
     first = only_attempt_in(harness.request(long_running.name, remaining_ms=9000))
     harness.stall(1990)
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -1,4 +1,7 @@
-"""The simulator's adapter, from the lines that come in to the lines that go out."""
+"""The simulator's adapter: the lines that it reads, and the lines that it writes for them.
+
+Events, settings and actions stand here under their names in the simulator's protocol.
+"""
 
 from __future__ import annotations
 
@@ -39,11 +42,11 @@
     "familyInfo": {"mayCount": True, "countWait": 50.0},
     "rules": {"warmWithin": 10000.0, "startCapacity": 0.2, "drainGrace": 1000.0},
 }
-CREATE = [
+CREATION_EVENTS = [
     ["create", 5, SETTINGS],
     ["backendsChanged", "SAVED", 1, [["a", 0, None, "ready", 1, BACKEND_ID, "std"]]],
 ]
-REQUEST = ["jobIn", REQUEST_ID, "view", "basic", "key:1", 3000.0, 1, 2, 0, 0]
+REQUEST_EVENT = ["jobIn", REQUEST_ID, "view", "basic", "key:1", 3000.0, 1, 2, 0, 0]
 
 
 class Result(NamedTuple):
@@ -80,7 +83,9 @@
     attempt_ended = ["ended", REQUEST_ID, 0, 18.5, "Ok", True, 0, BACKEND_ID, None, None]
 
     result = run_adapter(
-        encode_batch(*CREATE), encode_batch(REQUEST, moment=20), encode_batch(attempt_ended, moment=40)
+        encode_batch(*CREATION_EVENTS),
+        encode_batch(REQUEST_EVENT, moment=20),
+        encode_batch(attempt_ended, moment=40),
     )
 
     assert result.status == 0
@@ -93,7 +98,7 @@
 def test_every_event_of_the_protocol_is_accepted() -> None:
     result = run_adapter(
         encode_batch(
-            *CREATE,
+            *CREATION_EVENTS,
             ["wakeup", "x"],
             ["whisper", 1, "00ff"],
             ["lapsed", "0"],
@@ -102,7 +107,7 @@
             ["health", BACKEND_ID, "Ok", 1.0, None],
             ["backendsChanged", "FAILED", 1, None],
             ["exit"],
-            *CREATE,
+            *CREATION_EVENTS,
         )
     )
 
@@ -138,22 +143,26 @@
         pytest.param('{"moment":"x","groups":[]}\n', id="a moment that is no number"),
         pytest.param('{"moment":1,"groups":[{"gatewayId":1}]}\n', id="a group without events"),
         pytest.param(encode_batch(["wakeup", "x"]), id="an instance that was not created"),
-        pytest.param(encode_batch(*CREATE, ["exit"], ["wakeup", "x"]), id="an instance that has exited"),
-        pytest.param(encode_batch(*CREATE, ["surprise"]), id="an unknown event"),
-        pytest.param(encode_batch(*CREATE, ["jobIn", 1]), id="an event without its values"),
-        pytest.param(encode_batch(*CREATE, []), id="an event without a name"),
+        pytest.param(
+            encode_batch(*CREATION_EVENTS, ["exit"], ["wakeup", "x"]), id="an instance that has exited"
+        ),
+        pytest.param(encode_batch(*CREATION_EVENTS, ["surprise"]), id="an unknown event"),
+        pytest.param(encode_batch(*CREATION_EVENTS, ["jobIn", 1]), id="an event without its values"),
+        pytest.param(encode_batch(*CREATION_EVENTS, []), id="an event without a name"),
         pytest.param(encode_batch(["create"]), id="an instance without a seed"),
         pytest.param(encode_batch(["create", 1, []]), id="settings that are no object"),
-        pytest.param(encode_batch(*CREATE, ["whisper", 1, "zz"]), id="a payload that is not hexadecimal"),
         pytest.param(
-            encode_batch(*CREATE, ["ended", "0", 0, 1, "Nonsense", True, 0, BACKEND_ID]),
+            encode_batch(*CREATION_EVENTS, ["whisper", 1, "zz"]), id="a payload that is not hexadecimal"
+        ),
+        pytest.param(
+            encode_batch(*CREATION_EVENTS, ["ended", "0", 0, 1, "Nonsense", True, 0, BACKEND_ID]),
             id="an unknown outcome",
         ),
         pytest.param("3\n", id="a number"),
-        pytest.param(encode_batch(*CREATE, ["wakeup", 5]), id="a token that is no text"),
+        pytest.param(encode_batch(*CREATION_EVENTS, ["wakeup", 5]), id="a token that is no text"),
     ],
 )
-def test_bad_input_is_named_in_one_line_and_ends_the_adapter(
+def test_invalid_input_is_reported_in_one_line_and_ends_the_adapter(
     line: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     result = run_adapter(line)
@@ -167,7 +176,7 @@
 def test_the_adapter_runs_as_a_command() -> None:
     process = subprocess.run(
         [sys.executable, "-m", "gateway.simulator"],
-        input=encode_batch(*CREATE) + "oops\n",
+        input=encode_batch(*CREATION_EVENTS) + "oops\n",
         capture_output=True,
         text=True,
         cwd=Path(__file__).parents[2],
--- a/tests/support/policy_harness.py
+++ b/tests/support/policy_harness.py
@@ -163,6 +163,10 @@
         """Let the policy estimate that the counter has capacity for this fraction of the calls."""
         self.policy.counter_throttle.capacity = capacity
 
+    def exhaust_retry_budget(self) -> None:
+        """Let the policy have spent all of its retry budget."""
+        self.policy.retries.budget = 0.0
+
     def set_response_rate(self, responses_per_s: float) -> None:
         """Let the policy have measured this rate of responses just now."""
         self.policy.stats.response_rate = responses_per_s
