--- a/gateway/policy/actions.py
+++ b/gateway/policy/actions.py
@@ -1,4 +1,8 @@
-"""The actions that the policy returns, for its host to carry out. All times are milliseconds."""
+"""The actions that the policy returns, for its host to carry out. All times are milliseconds.
+
+No action is changed once it has been created. The types are not frozen dataclasses, because those assign each
+field through a call: they take longer to create, and longer to define at the start of the process.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +12,7 @@
 from .timers import TimerToken
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class StartAttempt:
     """Start an attempt; the attempts of a request are numbered 0, 1, 2, ... in the order of their starts.
 
@@ -22,7 +26,7 @@
     start_before: float = math.inf
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class CancelAttempt:
     """Cancel an attempt that is in flight."""
 
@@ -30,7 +34,7 @@
     attempt_number: int
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class Reject:
     """A final response which promises that it is safe to send the request again."""
 
@@ -38,14 +42,14 @@
     retry_after_ms: float = 0.0
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class Fail:
     """A final response after which the request may have run."""
 
     request_id: str
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class SetTimer:
     """Deliver `TimerFired` with the token after a delay.
 
@@ -56,7 +60,7 @@
     token: TimerToken
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class IncrementCounter:
     """Add to a named total on the counter service (0 reads it); the response carries the new total."""
 
@@ -65,7 +69,7 @@
     expires_in_ms: float
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class WatchEndpoints:
     """Open a watch of the endpoint list."""
 
--- a/gateway/policy/events.py
+++ b/gateway/policy/events.py
@@ -1,4 +1,8 @@
-"""The events that the policy's host delivers. All times are milliseconds on the host's clock."""
+"""The events that the policy's host delivers. All times are milliseconds on the host's clock.
+
+No event is changed once it has been created. The types are not frozen dataclasses, because those assign each
+field through a call: they take longer to create, and longer to define at the start of the process.
+"""
 
 from __future__ import annotations
 
@@ -63,7 +67,7 @@
     state: EndpointState
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class EndpointUpdate:
     """Entries of the endpoint list; a snapshot may come in parts and is in force with the last of them."""
 
@@ -73,7 +77,7 @@
     is_last: bool = True
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class RequestArrived:
     """A request has arrived; those of its customer arrive through `gateway_set_size` gateways."""
 
@@ -90,7 +94,7 @@
     """Whether the client has sent this request before."""
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class AttemptEnded:
     """An attempt has ended; `request_finished` says whether its request already has its final response."""
 
@@ -102,7 +106,7 @@
     request_finished: bool
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class ResponseStarted:
     """The first bytes of a response have arrived."""
 
@@ -111,14 +115,14 @@
     backend_id: int
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class ClientDisconnected:
     """The client of a request has disconnected."""
 
     request_id: str
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class CounterResponse:
     """The counter's response to the oldest open call of that name, or the failure of this call."""
 
@@ -127,14 +131,14 @@
     total: float
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class TimerFired:
     """A timer that the policy set is due."""
 
     token: TimerToken
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class PeerMessage:
     """A message of another gateway."""
 
--- a/gateway/policy/shared_bucket_reads.py
+++ b/gateway/policy/shared_bucket_reads.py
@@ -99,7 +99,9 @@
         self._take_level(now, request, period=period, total=total, actions=actions)
 
     def on_corrected(self, lease: Lease, call: CorrectTotal, total: float, actions: Actions) -> None:
-        """Undo a correction if another gateway has made it, too."""
+        """Undo a correction if another gateway has made it, too; one to an empty total is not checked."""
+        if not call.expected_total:
+            return
         if (total - call.expected_total) / call.units > MAX_DEVIATION:
             units = round(-call.units, UNIT_DECIMALS)
             self.calls.send(lease, UndoCorrection(lease.key, call.period, units), actions)
