--- a/gateway/policy/counter_throttle.py
+++ b/gateway/policy/counter_throttle.py
@@ -38,9 +38,9 @@
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
         self.capacity = 1.0
-        """Fraction of the calls that the counter handles, from 0 to 1."""
+        """Estimated fraction of calls that succeed, from 0 to 1."""
         self.timely_capacity = 1.0
-        """Fraction of the calls that the counter handles before they time out, from 0 to 1."""
+        """Estimated fraction of calls that do not time out, from 0 to 1; it counts time-outs once more."""
 
     def record(self, outcome: Outcome) -> None:
         """Update the estimates by the outcome of a call: additive increase, multiplicative decrease."""
@@ -57,7 +57,7 @@
         return self.rng.random() <= math.pow(self.capacity, urgency) * self.timely_capacity
 
     def permits_upkeep(self) -> bool:
-        """Draw whether a call is made that no request waits for; slow responses do no harm there."""
+        """Draw whether a call is made that keeps a total right: a refresh, a debt's read or a correction."""
         return self.rng.random() <= self.capacity
 
     def sampling_probability(self, minimum: float) -> float:
--- a/gateway/policy/lease_refresh.py
+++ b/gateway/policy/lease_refresh.py
@@ -30,8 +30,8 @@
     def refresh(self, now: float, request: PendingRequest, actions: Actions) -> None:
         """Record the demand of a request, and report it if a refresh is due.
 
-        Sampled reporting: a call is made with a probability p and adds 1/p of the demand, so that totals stay
-        unbiased while an overloaded counter gets fewer calls.
+        Sampled reporting: a call is made with a probability p and its units are scaled by 1/p, so that totals
+        stay unbiased while an overloaded counter gets fewer calls.
         """
         lease = request.lease
         lease.record_usage(request.cost)
--- a/gateway/policy/leases.py
+++ b/gateway/policy/leases.py
@@ -12,7 +12,7 @@
 
 from .events import RequestArrived
 from .settings import Plan, Settings
-from .shared_bucket import MEMORY_MS, SharedTokenBucket, counter_key
+from .shared_bucket import KEPT_PERIODS, MEMORY_MS, SharedTokenBucket, counter_key
 
 LEASE_MS = 15_000.0
 """How long a lease lasts unless it is renewed."""
@@ -62,7 +62,6 @@
         self.shared_bucket = SharedTokenBucket.of(self.key, plan.rate, plan.burst) if is_sparse else None
         fill_ms = plan.burst / max(plan.rate, 1e-9) * 1000
         self.period_ms = min(LEASE_MS, max(REFRESH_INTERVAL_MS, fill_ms))  # an empty burst is full after it
-        self.total_lifetime_ms = MEMORY_MS if is_sparse else 4 * self.period_ms  # on the counter
         self.expires_at = now + LEASE_MS
         self.fresh_until = now
         self.empty_until = self.likely_empty_until = now  # of the shared bucket, as last read
@@ -73,6 +72,11 @@
         self.unreported_usage = 0.0  # units; negative where more was reported than spent
         self.has_report_timer = False
 
+    @property
+    def total_lifetime_ms(self) -> float:
+        """How long the counter keeps a total of the customer, from its first call."""
+        return MEMORY_MS if self.shared_bucket else KEPT_PERIODS * self.period_ms
+
     def refill(self, now: float) -> None:
         """Add the tokens earned since the last refill, up to this gateway's share of the burst."""
         if now > self.expires_at:
@@ -137,7 +141,7 @@
         self.demand_at = now
         self._record_total(now, period, total)
         if is_same_period and total < previous_total - TOTAL_TOLERANCE:
-            return  # the counter has lost its totals: this one does not show what the customer has used
+            return  # the counter has lost its totals: this one does not show the demand
         if is_same_period:
             self.demand_here = self.demand_here * decay + units
             self.demand_of_all = self.demand_of_all * decay + max(units, total - previous_total)
@@ -155,8 +159,8 @@
     def accept_total(self, now: float, period: int, total: float, tolerance: float) -> bool:
         """Record a total of the shared bucket; false if the last level has to stand.
 
-        Totals of one period only grow, but for small corrections. One that fell means that the counter has
-        lost its totals; taken as the level, it would grant the whole burst again.
+        A total that is lower than the last one of its period, beyond the tolerance, shows that the counter
+        has lost its totals; taken for the level, it would grant the complete burst again.
         """
         is_accepted = period != self.last_period or total > self.last_total - tolerance
         self._record_total(now, period, total)
@@ -209,7 +213,7 @@
         return lease
 
     def _forget_idle(self, now: float) -> None:
-        """Forget customers without attempts in flight whose buckets would be full again."""
+        """Forget customers without an attempt in flight or a request within their retention time."""
         active = [
             lease
             for lease in self.by_customer.values()
--- a/gateway/policy/shared_bucket.py
+++ b/gateway/policy/shared_bucket.py
@@ -10,10 +10,12 @@
 from dataclasses import dataclass
 
 PERIOD_MS = 15_000.0
-"""Length of a period. At most half of the minute for which the counter keeps a total: the last one is read,
-too."""
+"""Length of a period: the counter keeps a total for a minute, and the period before has to be read, too."""
 
-MEMORY_MS = 4 * PERIOD_MS
+KEPT_PERIODS = 4
+"""Periods for which the counter keeps a total."""
+
+MEMORY_MS = KEPT_PERIODS * PERIOD_MS
 """How long the counter keeps a total, from its first call."""
 
 
