--- a/gateway/policy/backends.py
+++ b/gateway/policy/backends.py
@@ -6,12 +6,14 @@
 from .events import Endpoint
 
 
-@dataclass(slots=True, eq=False)
 class Score:
     """A level that decays exponentially from its last update; who reads it knows the time constant."""
 
-    level: float = 0.0
-    updated_at: float = 0.0
+    __slots__ = ("level", "updated_at")
+
+    def __init__(self) -> None:
+        self.level = 0.0
+        self.updated_at = 0.0
 
     def update(self, now: float, level: float) -> None:
         """Set the level; it decays from now on."""
--- a/gateway/policy/leases.py
+++ b/gateway/policy/leases.py
@@ -12,7 +12,7 @@
 
 from .events import RequestArrived
 from .settings import Plan, Settings
-from .shared_bucket import KEPT_PERIODS, MEMORY_MS, SharedTokenBucket, counter_key
+from .shared_bucket import MEMORY_MS, RETAINED_PERIODS, SharedTokenBucket, counter_key
 
 LEASE_MS = 15_000.0
 """How long a lease lasts unless it is renewed."""
@@ -75,7 +75,7 @@
     @property
     def total_lifetime_ms(self) -> float:
         """How long the counter keeps a total of the customer, from its first call."""
-        return MEMORY_MS if self.shared_bucket else KEPT_PERIODS * self.period_ms
+        return MEMORY_MS if self.shared_bucket else RETAINED_PERIODS * self.period_ms
 
     def refill(self, now: float) -> None:
         """Add the tokens earned since the last refill, up to this gateway's share of the burst."""
--- a/gateway/policy/load_balancing.py
+++ b/gateway/policy/load_balancing.py
@@ -1,7 +1,6 @@
 """The choice of a backend: randomized by cost, with slow start for backends that are warming up."""
 
 import random
-from dataclasses import dataclass
 
 from .backend_table import BackendTable
 from .backends import Backend
@@ -23,14 +22,16 @@
 """Failure probability from which a backend that is warming up is not chosen."""
 
 
-@dataclass(slots=True, eq=False)
 class LoadBalancer:
     """Chooses backends for attempts."""
 
-    rules: SafetyRules
-    rng: random.Random
-    backends: BackendTable
-    outliers: OutlierDetector
+    def __init__(
+        self, rules: SafetyRules, rng: random.Random, backends: BackendTable, outliers: OutlierDetector
+    ) -> None:
+        self.rules = rules
+        self.rng = rng
+        self.backends = backends
+        self.outliers = outliers
 
     def pick(self, now: float, request: PendingRequest) -> Backend | None:
         """Draw a backend, those of low cost far more often; one that is warming up by a draw of its own."""
--- a/gateway/policy/quota_counter.py
+++ b/gateway/policy/quota_counter.py
@@ -1,7 +1,5 @@
 """This gateway's use of the counter service: the parts that call it, and what each response leads to."""
 
-from collections.abc import Mapping
-
 from .actions import Actions
 from .counter_calls import (
     CarryOverLeaseDebt,
@@ -31,7 +29,7 @@
         settings: Settings,
         throttle: CounterThrottle,
         leases: LeaseTable,
-        requests: Mapping[str, PendingRequest],
+        requests: dict[str, PendingRequest],
     ) -> None:
         self.throttle = throttle
         self.leases = leases
--- a/gateway/policy/request_lifecycle.py
+++ b/gateway/policy/request_lifecycle.py
@@ -1,17 +1,14 @@
 """Takes each request from its arrival to its one final response; all times are milliseconds."""
 
-from dataclasses import dataclass
-
 from . import events
 from .actions import Actions, Fail, Reject
 from .admission import SPARE_DELAY_FRACTION, AdmissionController
 from .leases import LeaseTable
-from .load_balancing import LoadBalancer
 from .quota_counter import QuotaCounter
 from .requests import PendingRequest
 from .retries import RetryController
 from .retry_safety import is_safe_to_resend
-from .settings import RequestClass
+from .settings import RequestClass, Settings
 
 FINISH_MARGIN_MS = 50.0
 """A request gets its final response this long before its deadline, so that the response arrives in time."""
@@ -20,17 +17,24 @@
 """A timer that fires this much earlier than it was set for counts as in time."""
 
 
-@dataclass(slots=True, eq=False)
 class RequestLifecycle:
     """Admits, forwards and finishes requests; each gets exactly one final response."""
 
-    requests: dict[str, PendingRequest]
-    request_classes: dict[str, RequestClass]
-    leases: LeaseTable
-    counter: QuotaCounter
-    admission: AdmissionController
-    balancer: LoadBalancer
-    retries: RetryController
+    def __init__(
+        self,
+        settings: Settings,
+        leases: LeaseTable,
+        counter: QuotaCounter,
+        admission: AdmissionController,
+        retries: RetryController,
+    ) -> None:
+        self.request_classes = {c.name: c for c in settings.request_classes}
+        self.requests = counter.requests
+        self.leases = leases
+        self.counter = counter
+        self.admission = admission
+        self.balancer = retries.balancer
+        self.retries = retries
 
     def on_arrival(self, now: float, event: events.RequestArrived, actions: Actions) -> None:
         """Take in a request; it is decided at once, unless it waits for a read of its shared bucket."""
--- a/gateway/policy/retries.py
+++ b/gateway/policy/retries.py
@@ -1,7 +1,6 @@
 """Attempts in flight, retries within a budget, and hedged requests."""
 
 import math
-from dataclasses import dataclass, field
 
 from .actions import Actions, CancelAttempt, StartAttempt
 from .backend_table import BackendTable
@@ -23,16 +22,18 @@
 """Retries that the budget holds at most."""
 
 
-@dataclass(slots=True, eq=False)
 class RetryController:
     """Starts and cancels attempts, and keeps the retry budget."""
 
-    settings: Settings
-    backends: BackendTable
-    balancer: LoadBalancer
-    outliers: OutlierDetector
-    budget: float = MAX_RETRY_BUDGET
-    attempts: dict[tuple[str, int], Attempt] = field(default_factory=dict)  # in flight, the oldest first
+    def __init__(
+        self, settings: Settings, backends: BackendTable, balancer: LoadBalancer, outliers: OutlierDetector
+    ) -> None:
+        self.settings = settings
+        self.backends = backends
+        self.balancer = balancer
+        self.outliers = outliers
+        self.budget = MAX_RETRY_BUDGET
+        self.attempts: dict[tuple[str, int], Attempt] = {}  # in flight, the oldest first
 
     def earn(self, *, has_spare_capacity: bool) -> None:
         """Add to the budget for a request that has arrived."""
--- a/gateway/policy/shared_bucket.py
+++ b/gateway/policy/shared_bucket.py
@@ -12,10 +12,10 @@
 PERIOD_MS = 15_000.0
 """Length of a period: the counter keeps a total for a minute, and the period before has to be read, too."""
 
-KEPT_PERIODS = 4
+RETAINED_PERIODS = 4
 """Periods for which the counter keeps a total."""
 
-MEMORY_MS = KEPT_PERIODS * PERIOD_MS
+MEMORY_MS = RETAINED_PERIODS * PERIOD_MS
 """How long the counter keeps a total, from its first call."""
 
 
