--- a/gateway/policy/counter_calls.py
+++ b/gateway/policy/counter_calls.py
@@ -8,7 +8,6 @@
 from __future__ import annotations
 
 from collections import deque
-from typing import NamedTuple
 
 from .actions import Actions, IncrementCounter
 from .events import CounterResponse
@@ -18,104 +17,91 @@
 """Decimal places of a unit that a call adds."""
 
 
-class RefreshLease(NamedTuple):
+class CounterCall:
+    """A call to the counter; the base of all kinds.
+
+    The kinds are plain classes, not dataclasses or named tuples: those generate and compile their methods at
+    import, which would lengthen the start of a gateway.
+    """
+
+    __slots__ = ("customer", "period", "units")
+
+    def __init__(self, customer: str, period: int, units: float = 0.0) -> None:
+        self.customer = customer
+        self.period = period
+        self.units = units
+
+
+class RefreshLease(CounterCall):
     """Adds the demand at this gateway, to learn the demand at all gateways of the customer."""
 
-    customer: str
-    period: int
-    units: float
+    __slots__ = ()
 
 
-class ReadLeaseDebt(NamedTuple):
+class ReadLeaseDebt(CounterCall):
     """Reads the total of a period that has ended, for the units beyond its quota."""
 
-    customer: str
-    period: int
+    __slots__ = ()
 
-    @property
-    def units(self) -> float:
-        """A read adds nothing."""
-        return 0.0
 
-
-class CarryOverLeaseDebt(NamedTuple):
+class CarryOverLeaseDebt(CounterCall):
     """Adds the units that the period before went beyond its quota to the present period."""
 
-    customer: str
-    period: int
-    units: float
+    __slots__ = ()
 
 
-class ReadSharedBucket(NamedTuple):
+class ReadSharedBucket(CounterCall):
     """Reads a shared bucket for a request that waits, and spends the request's units if it is likely to pass.
 
     The units hold unreported usage of earlier requests, too.
     """
 
-    customer: str
-    period: int
-    units: float
-    request_id: str
+    __slots__ = ("request_id",)
+
+    def __init__(self, customer: str, period: int, units: float, request_id: str) -> None:
+        super().__init__(customer, period, units)
+        self.request_id = request_id
 
 
-class ReadBucketDebt(NamedTuple):
+class ReadBucketDebt(CounterCall):
     """Reads the period before the present one for a request that waits, for the debt that it left."""
 
-    customer: str
-    period: int
-    request_id: str
+    __slots__ = ("request_id",)
 
-    @property
-    def units(self) -> float:
-        """A read adds nothing."""
-        return 0.0
+    def __init__(self, customer: str, period: int, request_id: str) -> None:
+        super().__init__(customer, period)
+        self.request_id = request_id
 
 
-class CarryOverBucketDebt(NamedTuple):
+class CarryOverBucketDebt(CounterCall):
     """Adds the debt that the period before left to the present period of a shared bucket."""
 
-    customer: str
-    period: int
-    units: float
+    __slots__ = ()
+
 
+class CorrectTotal(CounterCall):
+    """Brings the total of a shared bucket back to what a real bucket can hold.
+
+    `expected_total` is the total after it, unless another gateway corrects the total at the same time.
+    """
 
-class CorrectTotal(NamedTuple):
-    """Brings the total of a shared bucket back to what a real bucket can hold."""
+    __slots__ = ("expected_total",)
 
-    customer: str
-    period: int
-    units: float
-    expected_total: float
-    """The total after it, unless another gateway has corrected the total at the same time."""
+    def __init__(self, customer: str, period: int, units: float, expected_total: float) -> None:
+        super().__init__(customer, period, units)
+        self.expected_total = expected_total
 
 
-class UndoCorrection(NamedTuple):
+class UndoCorrection(CounterCall):
     """Takes back a correction that another gateway has made as well."""
 
-    customer: str
-    period: int
-    units: float
+    __slots__ = ()
 
 
-class ReportUsage(NamedTuple):
+class ReportUsage(CounterCall):
     """Adds unreported usage of a shared bucket; negative for units that were reported and not spent."""
 
-    customer: str
-    period: int
-    units: float
-
-
-CounterCall = (
-    RefreshLease
-    | ReadLeaseDebt
-    | CarryOverLeaseDebt
-    | ReadSharedBucket
-    | ReadBucketDebt
-    | CarryOverBucketDebt
-    | CorrectTotal
-    | UndoCorrection
-    | ReportUsage
-)
+    __slots__ = ()
 
 
 class PendingCounterCalls:
