--- a/gateway/network/clients/command_reader.py
+++ b/gateway/network/clients/command_reader.py
@@ -16,7 +16,7 @@
 """Most bytes that are received from a connection at once."""
 
 MAX_READ_AHEAD_BYTES = 128 * 1024
-"""Bytes that every connection may read beyond the commands taken, whatever all of them hold together.
+"""Bytes that every connection may read beyond the commands taken, whatever all of them have read ahead.
 
 A client's disconnect can be seen only behind all that it has sent before."""
 
@@ -71,14 +71,14 @@
 
     @property
     def buffered_bytes(self) -> int:
-        """Bytes kept of commands that are not taken yet; 0 only between commands."""
+        """Bytes buffered of commands that are not taken yet; 0 only between commands."""
         return self._parser.buffered_bytes
 
     def has_capacity(self) -> bool:
         """Whether more may be received without exceeding the bounds on what is read ahead.
 
-        A client that pipelines many requests and disconnects must be noticed: its requests would be forwarded
-        one after another although nobody waits for their replies.
+        The disconnect of a client that pipelines many requests must be seen behind them: they would otherwise
+        be forwarded one after another although no client waits for their replies.
         """
         return (
             self.is_discarding
--- a/gateway/network/clients/connection.py
+++ b/gateway/network/clients/connection.py
@@ -209,7 +209,7 @@
     def _reject_input(self, reason: str) -> None:
         """End the connection with an error reply behind the replies of the commands before.
 
-        What follows the error cannot be told from the rest of the malformed command.
+        What follows the error cannot be distinguished from the rest of the malformed command.
         """
         self.replies.add(PendingReply.completed(self, PROTOCOL_ERROR_REPLY))
         self.reader.discard_input()
@@ -277,7 +277,7 @@
             self._poll_for_disconnect()
 
     def close_after_last_read(self) -> None:
-        """Close at the end of the process, once what has come until now is answered."""
+        """Close at the end of the process, after replying to the commands that have come until now."""
         self._on_readable()
         self.close()
 
--- a/gateway/network/clients/listener.py
+++ b/gateway/network/clients/listener.py
@@ -51,7 +51,7 @@
 
 
 class ClientListener:
-    """Accepts the connections of clients, and bounds their number and what they may hold."""
+    """Accepts the connections of clients, and bounds their number and their memory."""
 
     def __init__(
         self,
@@ -153,7 +153,7 @@
         return True
 
     def _evict_unused(self) -> bool:
-        """Close a connection that nobody is using, preferably one that never sent a request.
+        """Close an unused connection, preferably one that has never sent a request.
 
         Returns:
             Whether there was one.
