--- a/gateway/policy/policy.py
+++ b/gateway/policy/policy.py
@@ -42,7 +42,13 @@
         self.retries = RetryController(settings, self.backends, self.balancer, outliers)
         admission = AdmissionController(settings, rng, self.stats)
         self.endpoint_updates = EndpointUpdateHandler(settings, self.backends, admission)
-        self.lifecycle = RequestLifecycle(settings, self.leases, self.counter, admission, self.retries)
+        self.lifecycle = RequestLifecycle(
+            settings=settings,
+            leases=self.leases,
+            counter=self.counter,
+            admission=admission,
+            retries=self.retries,
+        )
         self.has_started = False
         self.handlers: dict[type, Callable[[float, Any, Actions], None]] = {
             events.RequestArrived: self.lifecycle.on_arrival,
--- a/gateway/policy/settings.py
+++ b/gateway/policy/settings.py
@@ -62,6 +62,11 @@
     """Cost units a second that must never be exceeded."""
     hard_limit_burst: float = 0.0
 
+    @property
+    def is_over_quota_free(self) -> bool:
+        """Whether forwarding a request beyond the quota costs no more than it brings."""
+        return self.over_quota_cost <= self.over_quota_revenue
+
 
 @dataclass(frozen=True, slots=True)
 class SafetyRules:
--- a/gateway/policy/shared_bucket_reads.py
+++ b/gateway/policy/shared_bucket_reads.py
@@ -17,7 +17,7 @@
 from .counter_throttle import CallUrgency, CounterThrottle
 from .leases import TOTAL_TOLERANCE, Lease
 from .requests import PendingRequest
-from .settings import Settings
+from .settings import Plan, Settings
 
 MAX_DEVIATION = 0.5
 """Fraction of the burst by which a level may be out of bounds before the total is corrected, and fraction of
@@ -51,21 +51,11 @@
             return False
         if now < lease.fresh_until and lease.tokens >= request.cost:
             return False  # other gateways cannot have spent all of it since it was read
-        is_doubtful = now < lease.likely_empty_until or request.is_retry
-        is_over_quota_free = lease.plan.over_quota_cost <= lease.plan.over_quota_revenue
-        if is_over_quota_free:
-            urgency = CallUrgency.OVER_QUOTA_IS_FREE
-        elif is_doubtful:
-            urgency = CallUrgency.LIKELY_OVER_QUOTA
-        else:
-            urgency = CallUrgency.LIKELY_WITHIN_QUOTA
-        if not self.throttle.permits(urgency):
-            if is_over_quota_free and now >= lease.likely_empty_until:
-                request.assume_shortfall(0.0)
-            elif is_doubtful and not is_over_quota_free:
-                request.assume_shortfall(request.cost)
+        is_likely_over_quota = now < lease.likely_empty_until or request.is_retry
+        if not self._permits_read(lease.plan, is_likely_over_quota=is_likely_over_quota):
+            self._decide_unread(now, request, is_likely_over_quota=is_likely_over_quota)
             return False
-        reported_cost = 0.0 if is_doubtful else request.cost
+        reported_cost = 0.0 if is_likely_over_quota else request.cost
         request.replace_reported_cost(reported_cost)
         units = round(lease.take_unreported_usage() + reported_cost, UNIT_DECIMALS)
         self.calls.send(lease, ReadSharedBucket(lease.key, bucket.period(now), units, request.id), actions)
@@ -106,6 +96,25 @@
             units = round(-call.units, UNIT_DECIMALS)
             self.calls.send(lease, UndoCorrection(lease.key, call.period, units), actions)
 
+    def _permits_read(self, plan: Plan, *, is_likely_over_quota: bool) -> bool:
+        """Draw whether a bucket is read, by what a read may gain."""
+        if plan.is_over_quota_free:
+            urgency = CallUrgency.OVER_QUOTA_IS_FREE
+        elif is_likely_over_quota:
+            urgency = CallUrgency.LIKELY_OVER_QUOTA
+        else:
+            urgency = CallUrgency.LIKELY_WITHIN_QUOTA
+        return self.throttle.permits(urgency)
+
+    def _decide_unread(self, now: float, request: PendingRequest, *, is_likely_over_quota: bool) -> None:
+        """Assume what a request lacks where its bucket is not read; by default its lease decides."""
+        lease = request.lease
+        if lease.plan.is_over_quota_free:
+            if now >= lease.likely_empty_until:
+                request.assume_shortfall(0.0)
+        elif is_likely_over_quota:
+            request.assume_shortfall(request.cost)
+
     def _take_level(
         self, now: float, request: PendingRequest, period: int, total: float, actions: Actions
     ) -> None:
--- a/gateway/policy/usage_reporting.py
+++ b/gateway/policy/usage_reporting.py
@@ -63,8 +63,7 @@
         if bucket is None:
             return
         lease.release_report_timer()
-        is_over_quota_free = lease.plan.over_quota_cost <= lease.plan.over_quota_revenue
-        if not is_over_quota_free or self.throttle.permits(CallUrgency.OVER_QUOTA_IS_FREE):
+        if not lease.plan.is_over_quota_free or self.throttle.permits(CallUrgency.OVER_QUOTA_IS_FREE):
             self.report(now, lease, bucket, actions)
 
     def _schedule_report(self, lease: Lease, actions: Actions) -> None:
