--- a/gateway/__main__.py
+++ b/gateway/__main__.py
@@ -10,7 +10,7 @@
 
 from .network.discovery.endpoint_list import EndpointListError
 from .network.process.configuration import ConfigurationError
-from .network.process.server import run_until_signalled
+from .network.process.signals import run_until_signalled
 
 BAD_CONFIGURATION = 2
 """Exit status where the configuration is missing or not valid."""
--- /dev/null
+++ b/gateway/network/process/parts.py
@@ -0,0 +1,112 @@
+"""Builds the parts of one gateway from its configuration; nothing is connected by that."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+
+from gateway.network.backends.pool import BackendPool
+from gateway.network.clients.listener import ClientLimits, ClientListener
+from gateway.network.clients.pending_reply import RequestHandler
+from gateway.network.clients.request_parser import RequestParser
+from gateway.network.counter.client import CounterClient
+from gateway.network.discovery.backoff import Backoff
+from gateway.network.discovery.delivery import EndpointListener
+from gateway.network.discovery.watch import EndpointWatcher
+from gateway.network.dispatcher import Dispatcher
+from gateway.network.timers import TimerQueue
+from gateway.policy.settings import SafetyRules
+
+from .configuration import GatewayConfig
+from .descriptor_budget import budget_descriptors
+
+MS_PER_S = 1000.0
+
+BYTES_PER_MB = 2**20
+
+BUFFER_SHARE = 0.2
+"""Fraction of the memory limit for incomplete replies of backends, and as much for unsent replies."""
+
+WATCH_RETRY_SHARE = 0.25
+"""Fraction of the drain grace after which another watch is opened beside one without a response."""
+
+MIN_WATCH_RETRY_S = 0.05
+"""Least time until another watch is opened beside one without a response, in seconds."""
+
+
+class PartFactory:
+    """Creates the parts of one gateway, each of them once.
+
+    Made within a running event loop, which drives the parts.
+    """
+
+    def __init__(self, config: GatewayConfig, timers: TimerQueue) -> None:
+        self._config = config
+        self._timers = timers
+        self._loop = asyncio.get_running_loop()
+        self._budget = budget_descriptors(config.max_descriptors)
+        self._buffer_bytes = int(config.memory_mb * BUFFER_SHARE * BYTES_PER_MB)
+
+    def create_backend_pool(self, pool_type: type[BackendPool] = BackendPool) -> BackendPool:
+        """Create the pool of connections to backends, of another type for a simulated one."""
+        return pool_type(
+            self._loop,
+            self._timers,
+            connect_timeout_ms=self._config.connect_timeout_ms,
+            keepalive_ms=self._config.keepalive_ms,
+            drain_grace_ms=self._config.settings.safety_rules.drain_grace_ms,
+            max_connections=self._budget.backend_connections,
+            max_buffered_bytes=self._buffer_bytes,
+        )
+
+    def create_counter_client(self) -> CounterClient | None:
+        """Create the client of the counter; None if the deployment has none."""
+        address = self._config.counter_address
+        if address is None:
+            return None
+        return CounterClient(self._loop, self._timers, address, self._config.settings.counter_timeout_ms)
+
+    def create_dispatcher(self, backends: BackendPool, counter: CounterClient | None) -> Dispatcher:
+        """Create the dispatcher, and with it the policy."""
+        return Dispatcher(
+            self._config.settings,
+            seed=self._config.seed,
+            timers=self._timers,
+            backends=backends,
+            counter=counter,
+            max_open_requests=self._config.max_open_requests,
+        )
+
+    def create_watcher(self, version: int | None, on_endpoints: EndpointListener) -> EndpointWatcher:
+        """Create the watcher of the endpoint list from `version` on; None reads a snapshot first."""
+        settings = self._config.settings
+        backoff = Backoff(
+            settings.gateway_count,
+            self._config.poll_interval_ms / MS_PER_S,
+            random.Random(self._config.seed),
+        )
+        return EndpointWatcher(
+            self._config.discovery_address,
+            version,
+            on_endpoints,
+            backoff,
+            is_polled=settings.polls_endpoints,
+            reopen_after_s=_watch_retry_interval_s(settings.safety_rules),
+        )
+
+    def create_listener(self, handler: RequestHandler) -> ClientListener:
+        """Create the listener of clients, whose requests `handler` takes."""
+        return ClientListener(
+            self._loop,
+            self._timers,
+            handler=handler,
+            parser=RequestParser(self._config.settings),
+            limits=ClientLimits(
+                max_connections=self._budget.client_connections, memory_bytes=self._buffer_bytes
+            ),
+        )
+
+
+def _watch_retry_interval_s(rules: SafetyRules) -> float:
+    """Seconds after which another watch is opened beside one without a response."""
+    return max(MIN_WATCH_RETRY_S, rules.drain_grace_ms / MS_PER_S * WATCH_RETRY_SHARE)
--- a/gateway/network/process/server.py
+++ b/gateway/network/process/server.py
@@ -1,7 +1,6 @@
 """The life cycle of one gateway: start, reload and graceful shutdown.
 
 `GatewayServer` owns the parts of a gateway and the task that watches the endpoint list.
-`run_until_signalled` is the whole life of a process that runs one.
 """
 
 from __future__ import annotations
@@ -10,50 +9,28 @@
 import contextlib
 import gc
 import logging
-import random
-import signal
 from collections.abc import Callable
 from functools import partial
 
-from gateway.network.backends.pool import BackendPool
-from gateway.network.clients.listener import ClientLimits, ClientListener
-from gateway.network.clients.request_parser import RequestParser
-from gateway.network.counter.client import CounterClient
-from gateway.network.discovery.backoff import Backoff
+from gateway.network.clients.listener import ClientListener
 from gateway.network.discovery.endpoint_list import EndpointListError, parse_endpoint_list
 from gateway.network.discovery.watch import EndpointWatcher
-from gateway.network.dispatcher import Dispatcher
 from gateway.network.timers import TimerQueue
 from gateway.policy.events import UpdateKind
-from gateway.policy.settings import SafetyRules
 
-from .configuration import GatewayConfig, load_config
-from .descriptor_budget import budget_descriptors
+from .configuration import GatewayConfig
+from .parts import PartFactory
 from .reload import ReloadSignal, reload_addresses
 from .shutdown_schedule import ShutdownSchedule
 
 log = logging.getLogger("gateway")
 
-BUFFER_SHARE = 0.2
-"""Fraction of the memory limit for incomplete replies of backends, and as much for unsent replies."""
-
 FIRST_SNAPSHOT_TIMEOUT_S = 1.0
 """Longest wait of a start for the endpoint list of discovery's agent, in seconds.
 
 An agent responds at once or, while discovery is down, not at all.
 """
 
-WATCH_RETRY_SHARE = 0.25
-"""Fraction of the drain grace after which another watch is opened beside one without a response."""
-
-MIN_WATCH_RETRY_S = 0.05
-"""Least time until another watch is opened beside one without a response, in seconds."""
-
-
-def watch_retry_interval_s(rules: SafetyRules) -> float:
-    """Seconds after which another watch is opened beside one without a response."""
-    return max(MIN_WATCH_RETRY_S, rules.drain_grace_ms / 1000 * WATCH_RETRY_SHARE)
-
 
 class GatewayServer:
     """One gateway: its parts, from the start to the end of a graceful shutdown.
@@ -82,12 +59,10 @@
         self._reload_signal = reload_signal
         self._schedule = shutdown_schedule or ShutdownSchedule.for_settings(config.settings)
         self._loop = asyncio.get_running_loop()
-        self._timers = TimerQueue(self._loop)
-        self._budget = budget_descriptors(config.max_descriptors)
-        self._buffer_bytes = int(config.memory_mb * BUFFER_SHARE * 2**20)
-        self._backends = self._create_backend_pool()
-        self._counter = self._create_counter_client()
-        self._dispatcher = self._create_dispatcher()
+        self._parts = PartFactory(config, TimerQueue(self._loop))
+        self._backends = self._parts.create_backend_pool()
+        self._counter = self._parts.create_counter_client()
+        self._dispatcher = self._parts.create_dispatcher(self._backends, self._counter)
 
     async def run(self, stop: asyncio.Event, on_ready: Callable[[int], None] | None = None) -> None:
         """Serve until `stop` is set, then shut down gracefully.
@@ -96,7 +71,7 @@
         the run with its exception.
         """
         version = self._apply_cached_endpoints()
-        watcher = self._create_watcher(version)
+        watcher = self._parts.create_watcher(version, self._dispatcher.on_endpoints)
         watch = self._loop.create_task(watcher.run())
         stopped = self._loop.create_task(stop.wait())
         try:
@@ -155,7 +130,7 @@
         self, watcher: EndpointWatcher, on_ready: Callable[[int], None] | None
     ) -> ClientListener:
         """Let clients connect, and connect the reload signal."""
-        listener = self._create_listener()
+        listener = self._parts.create_listener(self._dispatcher)
         if self._reload_signal is not None and self._load is not None:
             self._reload_signal.connect(partial(reload_addresses, self._load, watcher, self._counter))
         address = self._config.listen_address
@@ -214,81 +189,3 @@
         self._backends.close()
         if self._counter is not None:
             self._counter.close()
-
-    # ---- parts ----
-
-    def _create_backend_pool(self) -> BackendPool:
-        return BackendPool(
-            self._loop,
-            self._timers,
-            connect_timeout_ms=self._config.connect_timeout_ms,
-            keepalive_ms=self._config.keepalive_ms,
-            drain_grace_ms=self._config.settings.safety_rules.drain_grace_ms,
-            max_connections=self._budget.backend_connections,
-            max_buffered_bytes=self._buffer_bytes,
-        )
-
-    def _create_counter_client(self) -> CounterClient | None:
-        address = self._config.counter_address
-        if address is None:
-            return None
-        return CounterClient(self._loop, self._timers, address, self._config.settings.counter_timeout_ms)
-
-    def _create_dispatcher(self) -> Dispatcher:
-        return Dispatcher(
-            self._config.settings,
-            seed=self._config.seed,
-            timers=self._timers,
-            backends=self._backends,
-            counter=self._counter,
-            max_open_requests=self._config.max_open_requests,
-        )
-
-    def _create_backoff(self) -> Backoff:
-        return Backoff(
-            self._config.settings.gateway_count,
-            self._config.poll_interval_ms / 1000,
-            random.Random(self._config.seed),
-        )
-
-    def _create_watcher(self, version: int | None) -> EndpointWatcher:
-        settings = self._config.settings
-        return EndpointWatcher(
-            self._config.discovery_address,
-            version,
-            self._dispatcher.on_endpoints,
-            self._create_backoff(),
-            is_polled=settings.polls_endpoints,
-            reopen_after_s=watch_retry_interval_s(settings.safety_rules),
-        )
-
-    def _create_listener(self) -> ClientListener:
-        return ClientListener(
-            self._loop,
-            self._timers,
-            handler=self._dispatcher,
-            parser=RequestParser(self._config.settings),
-            limits=ClientLimits(
-                max_connections=self._budget.client_connections, memory_bytes=self._buffer_bytes
-            ),
-        )
-
-
-async def run_until_signalled(path: str) -> None:
-    """Run the gateway that the configuration file at `path` describes, until SIGTERM or SIGINT.
-
-    SIGHUP reloads the addresses in that file.
-
-    Raises:
-        ConfigurationError: the file cannot be read or is not valid.
-    """
-    loop = asyncio.get_running_loop()
-    stop = asyncio.Event()
-    reload_signal = ReloadSignal()
-    for signum in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(signum, stop.set)
-    # SIGHUP needs a handler before anything else starts: its default action ends the process.
-    loop.add_signal_handler(signal.SIGHUP, reload_signal.trigger)
-    load = partial(load_config, path)
-    server = GatewayServer(load(), load=load, reload_signal=reload_signal)
-    await server.run(stop)
--- a/scale/hollow_gateway.py
+++ b/scale/hollow_gateway.py
@@ -11,7 +11,6 @@
 import asyncio
 import gc
 import itertools
-import random
 import time
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -21,14 +20,9 @@
 from gateway.network.backends.pool import BackendPool
 from gateway.network.clients.pending_reply import PendingReply, ReplyConnection
 from gateway.network.clients.request_parser import RequestParser
-from gateway.network.counter.client import CounterClient
-from gateway.network.discovery.backoff import Backoff
 from gateway.network.discovery.endpoint_list import backend_id_of
-from gateway.network.discovery.watch import EndpointWatcher
-from gateway.network.dispatcher import Dispatcher
-from gateway.network.process.configuration import GatewayConfig, parse_config
-from gateway.network.process.descriptor_budget import BACKEND_SHARE
-from gateway.network.process.server import BUFFER_SHARE, watch_retry_interval_s
+from gateway.network.process.configuration import parse_config
+from gateway.network.process.parts import PartFactory
 from gateway.network.timers import TimerQueue
 from gateway.policy.events import Outcome, UpdateKind
 
@@ -83,21 +77,14 @@
     def __init__(self, raw_config: dict[str, Any], on_update: Callable[[], None] | None = None) -> None:
         """`raw_config` holds no cached list; `on_update` is called after each part of a list or change."""
         config = parse_config(raw_config)
-        timers = TimerQueue(asyncio.get_running_loop())
+        parts = PartFactory(config, TimerQueue(asyncio.get_running_loop()))
         self.index = config.settings.gateway_index
         self._on_update = on_update
-        self._backends = create_backend_pool(config, timers)
-        self._counter = create_counter_client(config, timers)
-        self._dispatcher = Dispatcher(
-            config.settings,
-            seed=config.seed,
-            timers=timers,
-            backends=self._backends,
-            counter=self._counter,
-            max_open_requests=config.max_open_requests,
-        )
+        self._backends = parts.create_backend_pool(ServingBackendPool)
+        self._counter = parts.create_counter_client()
+        self._dispatcher = parts.create_dispatcher(self._backends, self._counter)
         self._parser = RequestParser(config.settings)
-        self._watcher = create_endpoint_watcher(config, self._on_endpoints)
+        self._watcher = parts.create_watcher(None, self._on_endpoints)
         self._watch_task: asyncio.Task[None] | None = None
         self._request_ids = itertools.count(1)
         self.watch_events: list[WatchEvent] = []
@@ -167,42 +154,6 @@
             self._counter.close()
 
 
-def create_backend_pool(config: GatewayConfig, timers: TimerQueue) -> BackendPool:
-    """Create the pool as the program does, but one on which each attempt succeeds at once."""
-    return ServingBackendPool(
-        asyncio.get_running_loop(),
-        timers,
-        connect_timeout_ms=config.connect_timeout_ms,
-        keepalive_ms=config.keepalive_ms,
-        drain_grace_ms=config.settings.safety_rules.drain_grace_ms,
-        max_connections=int(config.max_descriptors * BACKEND_SHARE),
-        max_buffered_bytes=int(config.memory_mb * BUFFER_SHARE * 2**20),
-    )
-
-
-def create_counter_client(config: GatewayConfig, timers: TimerQueue) -> CounterClient | None:
-    """Create the counter's client as the program does; None where there is no counter."""
-    if config.counter_address is None:
-        return None
-    loop = asyncio.get_running_loop()
-    return CounterClient(loop, timers, config.counter_address, config.settings.counter_timeout_ms)
-
-
-def create_endpoint_watcher(config: GatewayConfig, listener: Callable[..., None]) -> EndpointWatcher:
-    """Create the watcher as the program does, without a cached list."""
-    settings = config.settings
-    poll_interval_s = config.poll_interval_ms / 1000
-    backoff = Backoff(settings.gateway_count, poll_interval_s, random.Random(config.seed))
-    return EndpointWatcher(
-        config.discovery_address,
-        None,
-        listener,
-        backoff,
-        is_polled=settings.polls_endpoints,
-        reopen_after_s=watch_retry_interval_s(settings.safety_rules),
-    )
-
-
 async def send_requests(
     gateways: list[HollowGateway], customers: Customers, *, rate: float, seconds: float
 ) -> None:
