--- a/gateway/network/clients/connection.py
+++ b/gateway/network/clients/connection.py
@@ -242,7 +242,7 @@
     @property
     def is_idle(self) -> bool:
         """Whether no reply is pending or unsent on an open connection."""
-        return self.replies.is_empty and not self.is_closed
+        return self.replies.is_empty() and not self.is_closed
 
     @property
     def is_between_commands(self) -> bool:
--- a/gateway/network/clients/reply_queue.py
+++ b/gateway/network/clients/reply_queue.py
@@ -37,7 +37,6 @@
         self.last_progress_at = connected_at
         """When the client last took some of its replies, in milliseconds of `now_ms`."""
 
-    @property
     def is_empty(self) -> bool:
         """Whether no reply is pending or unsent."""
         return not self.pending and not self.unsent
