--- a/gateway/policy/subsetting.py
+++ b/gateway/policy/subsetting.py
@@ -2,7 +2,7 @@
 
 Deterministic subsetting, after "Load Balancing in the Datacenter" in Site Reliability Engineering: each round
 of gateways divides a permutation of the ready backends, which covers them evenly, and the subset is a window
-on it (a `Ring` holds the permutation). A gateway so keeps connections to few backends, and each backend gets
+on it (a `Ring` holds the permutation). So a gateway keeps connections to few backends, and each backend gets
 its load from enough gateways.
 
 More than `MAX_CHANGES_AT_ONCE` changes are made in steps, with other events handled in between. Until the
