--- a/gateway/policy/retry_safety.py
+++ b/gateway/policy/retry_safety.py
@@ -4,8 +4,8 @@
 attempt may only go where it is harmless:
 
 - an idempotent request may run anywhere, any number of times;
-- a request with an idempotency key may be sent again to the backends that would recognise the key of the first
-  attempt, until a little before their deduplication window ends;
+- a request with an idempotency key may be sent again to the backends that would recognise the key of the
+  first attempt, until a little before their deduplication window ends;
 - an unsafe request is never sent again.
 """
 
--- a/tests/network/discovery/test_backoff.py
+++ b/tests/network/discovery/test_backoff.py
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize(("capacity_per_s", "until_s"), [(20.0, 6.0), (8.0, 10.0), (6.0, 20.0)])
-def test_service_with_little_capacity_answers_the_complete_fleet(
+def test_service_with_little_capacity_serves_the_complete_fleet(
     capacity_per_s: float, until_s: float
 ) -> None:
     assert count_answered(40, capacity_per_s, until_s) == 40
--- a/tests/network/process/test_deployment_settings.py
+++ b/tests/network/process/test_deployment_settings.py
@@ -191,7 +191,7 @@
         assert rejections
         assert all(rejection.startswith("BUSY") for rejection in rejections)
         for rejection in rejections:
-            retry_after_ms = [float(word) for word in rejection.split()[1:]]
+            retry_after_ms = [float(field) for field in rejection.split()[1:]]
             assert bool(retry_after_ms) == capabilities["retryAfter"]
             assert all(0 < wait_ms <= capabilities["maxRetryAfter"] for wait_ms in retry_after_ms)
         assert without_quota == b"value"
--- a/tests/network/process/test_gateway_process.py
+++ b/tests/network/process/test_gateway_process.py
@@ -20,7 +20,7 @@
 from tests.support.resp_peer import LOCAL
 
 
-class HeldScript:
+class ReleasableScript:
     """A backend's script that replies to nothing until it is released."""
 
     def __init__(self) -> None:
@@ -37,7 +37,7 @@
 
 def test_sigterm_completes_open_requests_and_exits_with_0(tmp_path: Path) -> None:
     async def scenario() -> None:
-        script = HeldScript()
+        script = ReleasableScript()
         backend = FakeBackend(script)
         async with launched(GatewayHarness(backend), tmp_path) as gateway:
             peer = await connect(gateway.port)
@@ -65,7 +65,7 @@
 
 def test_sighup_takes_up_new_addresses_and_leaves_open_requests_alone(tmp_path: Path) -> None:
     async def scenario() -> None:
-        script = HeldScript()
+        script = ReleasableScript()
         old_backend = FakeBackend(script)
         new_backend = FakeBackend()
         old_harness = GatewayHarness(old_backend)
