--- a/benchmarks/capacity_slopes/listed_backends.py
+++ b/benchmarks/capacity_slopes/listed_backends.py
@@ -124,7 +124,7 @@
     policy = GatewayPolicy(make_settings(gateways=FLEET_GATEWAYS), 1)
     actions = policy.handle(START_MS, snapshot(endpoints))
     while actions:
-        actions = policy.handle(START_MS, TimerFired(TimerToken(TimerKind.BUILD_ORDER)))
+        actions = policy.handle(START_MS, TimerFired(TimerToken(TimerKind.REBUILD_SUBSET)))
     return policy
 
 
--- a/benchmarks/capacity_slopes/policy_internals.py
+++ b/benchmarks/capacity_slopes/policy_internals.py
@@ -51,6 +51,6 @@
 def choose_backends(policy: GatewayPolicy, now: float, count: int) -> None:
     """Choose a backend so many times, as for a request that has not been forwarded yet."""
     pending = next(iter(policy.requests.values()))
-    request = dataclasses.replace(pending, tried_backend_ids=set(), possibly_run=[])
+    request = dataclasses.replace(pending, tried_backend_ids=set(), possibly_run_attempts=[])
     for _ in range(count):
         policy.balancer.pick(now, request)
--- a/gateway/policy/admission.py
+++ b/gateway/policy/admission.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 
 from .requests import Attempt, PendingRequest
-from .response_stats import MAX_LATENCY_RATIO, RECENT_WEIGHT, ResponseStats
+from .response_stats import MAX_LATENCY_RATIO, MIN_RECENT_LATENCY_WEIGHT, ResponseStats
 from .settings import Settings
 
 SHED_DELAY_FRACTION = 0.6
@@ -14,7 +14,7 @@
 """Where a gateway has few attempts in flight, the shed probability rises from 0 to 1 over this further
 fraction of the latency objective."""
 
-LOW_PRIORITY_REDUCTION = 0.25
+LOW_PRIORITY_DELAY_REDUCTION = 0.25
 """Fraction by which the delay for shedding is reduced for a request class of no weight; others in
 proportion."""
 
@@ -24,7 +24,7 @@
 IN_FLIGHT_PER_BACKEND = 3.0
 """Attempts of all gateways together that a backend may always have in flight."""
 
-MIN_IN_FLIGHT = 2.0
+MIN_IN_FLIGHT_FOR_ESTIMATE = 2.0
 """Attempts in flight at this gateway under which their number does not show a queue."""
 
 RELIABLE_IN_FLIGHT = 9.0
@@ -39,7 +39,7 @@
 
     def __init__(self, settings: Settings, rng: random.Random, stats: ResponseStats) -> None:
         self.settings = settings
-        self.max_weight = max((c.priority_weight for c in settings.request_classes), default=1.0)
+        self.max_priority_weight = max((c.priority_weight for c in settings.request_classes), default=1.0)
         self.rng = rng
         self.stats = stats
         self.allowed_in_flight = 0.0
@@ -60,39 +60,39 @@
         backend is busy. So it requires elevated latency as well, in which attempts that are late count, too.
         """
         stats = self.stats
-        latency_ms = stats.recent_latency(now)
-        lost_after_ms = max(MAX_LATENCY_RATIO * max(stats.typical_ms, stats.recent_ms), 1.0)
+        latency_ms = stats.decayed_recent_latency(now)
+        lost_after_ms = max(MAX_LATENCY_RATIO * max(stats.typical_latency_ms, stats.recent_latency_ms), 1.0)
         in_flight = 1
         for _, _, started_at in attempts:
             age_ms = now - started_at
             if age_ms < lost_after_ms:  # an attempt that is lost does not wait in a queue
-                latency_ms *= max(1.0, age_ms / latency_ms) ** RECENT_WEIGHT
+                latency_ms *= max(1.0, age_ms / latency_ms) ** MIN_RECENT_LATENCY_WEIGHT
                 in_flight += 1
-        if self.allowed_in_flight < MIN_IN_FLIGHT:
-            return latency_ms * max(1.0, in_flight / MIN_IN_FLIGHT) ** 2
+        if self.allowed_in_flight < MIN_IN_FLIGHT_FOR_ESTIMATE:
+            return latency_ms * max(1.0, in_flight / MIN_IN_FLIGHT_FOR_ESTIMATE) ** 2
         if in_flight <= self.allowed_in_flight:
             return 0.0
-        queueing_ms = in_flight * 1000 / max(stats.rate(now), 1e-9)
-        return queueing_ms if in_flight > RELIABLE_IN_FLIGHT else min(queueing_ms, latency_ms)
+        littles_law_ms = in_flight * 1000 / max(stats.decayed_response_rate(now), 1e-9)
+        return littles_law_ms if in_flight > RELIABLE_IN_FLIGHT else min(littles_law_ms, latency_ms)
 
     def admits(
-        self, request: PendingRequest, shortfall: float, relative_delay: float, expected_at: float
+        self, request: PendingRequest, shortfall: float, relative_delay: float, expected_response_at: float
     ) -> bool:
-        """Whether quota, limits and load let a request pass that would get its response at `expected_at`.
+        """Whether quota, limits and load let a request pass that would get its response then.
 
         `shortfall` is the tokens that its lease lacks, `relative_delay` the estimated queueing delay as a
         fraction of its latency objective.
         """
         lease = request.lease
         plan = lease.plan
-        has_over_quota_revenue = plan.over_quota_revenue > plan.over_quota_cost
-        may_exceed_quota = relative_delay < SPARE_DELAY_FRACTION and has_over_quota_revenue
+        is_over_quota_profitable = plan.over_quota_revenue > plan.over_quota_cost
+        may_exceed_quota = relative_delay < SPARE_DELAY_FRACTION and is_over_quota_profitable
         limit = plan.concurrency_limit
         is_over_quota = shortfall > 0 or (limit and lease.in_flight + 1 > max(1.0, limit * lease.share))
         is_over_hard_limit = plan.hard_limit_rate and lease.hard_limit_tokens < request.cost
         is_over_limit = is_over_hard_limit or (is_over_quota and not may_exceed_quota)
         is_shed = self._is_shed(request, relative_delay)
-        return not is_over_limit and not is_shed and expected_at <= request.objective_at
+        return not is_over_limit and not is_shed and expected_response_at <= request.latency_objective_at
 
     def quota_wait(self, request: PendingRequest, shortfall: float) -> float:
         """Milliseconds until the quota has a request's tokens; 0 if it does not lack them."""
@@ -110,9 +110,13 @@
 
     def _is_shed(self, request: PendingRequest, relative_delay: float) -> bool:
         """Shed early what would be too late to be of use, requests of low priority first."""
-        low_priority = 0.0
-        if self.max_weight:
-            low_priority = 1 - request.request_class.priority_weight / self.max_weight
-        max_delay = SHED_DELAY_FRACTION * (1 - LOW_PRIORITY_REDUCTION * low_priority)
-        ramp = SHED_RAMP_FRACTION * self.rng.random() if self.allowed_in_flight < MIN_IN_FLIGHT else 0.0
+        priority_gap = 0.0
+        if self.max_priority_weight:
+            priority_gap = 1 - request.request_class.priority_weight / self.max_priority_weight
+        max_delay = SHED_DELAY_FRACTION * (1 - LOW_PRIORITY_DELAY_REDUCTION * priority_gap)
+        ramp = (
+            SHED_RAMP_FRACTION * self.rng.random()
+            if self.allowed_in_flight < MIN_IN_FLIGHT_FOR_ESTIMATE
+            else 0.0
+        )
         return relative_delay > max_delay + ramp
--- a/gateway/policy/endpoint_updates.py
+++ b/gateway/policy/endpoint_updates.py
@@ -45,4 +45,4 @@
         """Let waiting events be handled before the next step."""
         if self.backends.endpoints.is_rebuilding and not self.has_rebuild_timer:
             self.has_rebuild_timer = True
-            actions.append(SetTimer(0.0, TimerToken(TimerKind.BUILD_ORDER)))
+            actions.append(SetTimer(0.0, TimerToken(TimerKind.REBUILD_SUBSET)))
--- a/gateway/policy/load_balancing.py
+++ b/gateway/policy/load_balancing.py
@@ -41,7 +41,7 @@
         allowed = [b for b in candidates if may_run_on(now, request, b)]
         allowed = allowed or self.fallback_candidates(now, request)
         warm = [b for b in allowed if self.slow_start_fraction(now, b) >= 1]
-        if len(warm) < len(allowed) and not (request.possibly_run and warm):
+        if len(warm) < len(allowed) and not (request.possibly_run_attempts and warm):
             backend = self._draw_warming(now, request, allowed)
             if backend is not None:
                 return backend
--- a/gateway/policy/outlier_detection.py
+++ b/gateway/policy/outlier_detection.py
@@ -10,7 +10,7 @@
 from .backends import Backend, Score
 from .events import Outcome
 from .requests import Attempt, PendingRequest
-from .response_stats import ABANDONED, MAX_LATENCY_RATIO, ResponseStats
+from .response_stats import ABANDONED_OUTCOMES, MAX_LATENCY_RATIO, ResponseStats
 
 LATENCY_WEIGHT = 0.15
 """Weight of one response in a backend's excess latency."""
@@ -68,20 +68,20 @@
 
     def expected_latency(self, now: float, backend: Backend) -> float:
         """Milliseconds that a response of a backend should take, before its queue and its failures."""
-        return max(1.0, self.stats.typical_ms + self._decayed(now, backend.scores.excess_latency))
+        return max(1.0, self.stats.typical_latency_ms + self._decayed(now, backend.scores.excess_latency))
 
     def attempt_timeout(self, now: float, attempt: Attempt) -> float:
         """Milliseconds that a response may take before the attempt counts as lost."""
-        if not self.stats.typical_ms:
+        if not self.stats.typical_latency_ms:
             return FIRST_TIMEOUT_FRACTION * attempt.request.request_class.latency_objective_ms
         failure_probability = self.failure_probability(now, attempt.backend, attempt.request)
         ratio = max(MIN_TIMEOUT_RATIO, MAX_LATENCY_RATIO / (1 + FAILURE_COST * failure_probability))
-        return ratio * self.stats.typical_ms
+        return ratio * self.stats.typical_latency_ms
 
     def record_outcome(self, now: float, attempt: Attempt, outcome: Outcome) -> None:
         """Score a backend by the end of an attempt, and take its latency into the statistics."""
         latency_ms = max(1.0, now - attempt.started_at)
-        is_abandoned = outcome in ABANDONED
+        is_abandoned = outcome in ABANDONED_OUTCOMES
         is_overdue = is_abandoned and latency_ms >= self.attempt_timeout(now, attempt)
         if outcome is Outcome.OK or is_abandoned:
             self._record_latency(now, attempt.backend, latency_ms, is_abandoned=is_abandoned)
@@ -92,8 +92,8 @@
     def _record_latency(self, now: float, backend: Backend, latency_ms: float, *, is_abandoned: bool) -> None:
         score = backend.scores.excess_latency
         excess_ms = self._decayed(now, score)
-        capped_ms = self.stats.cap(latency_ms)
-        typical_ms = self.stats.typical_ms
+        capped_ms = self.stats.capped(latency_ms)
+        typical_ms = self.stats.typical_latency_ms
         if not is_abandoned or capped_ms > typical_ms + excess_ms:  # the response would have taken longer
             sample_ms = capped_ms - (typical_ms or latency_ms)
             score.update(now, excess_ms + (sample_ms - excess_ms) * LATENCY_WEIGHT)
--- a/gateway/policy/policy.py
+++ b/gateway/policy/policy.py
@@ -77,13 +77,13 @@
         return actions
 
     def _on_timer(self, now: float, event: events.TimerFired, actions: Actions) -> None:
-        kind, subject = event.token
+        kind, key = event.token
         match kind:
             case TimerKind.REQUEST:
-                self.lifecycle.on_timer(now, subject, actions)
+                self.lifecycle.on_timer(now, key, actions)
             case TimerKind.USAGE_REPORT:
-                self.counter.on_report_timer(now, subject, actions)
-            case TimerKind.BUILD_ORDER:
+                self.counter.on_report_timer(now, key, actions)
+            case TimerKind.REBUILD_SUBSET:
                 self.endpoint_updates.on_rebuild_timer(actions)
             case TimerKind.WATCH_ENDPOINTS:
                 actions.append(WatchEndpoints())
--- a/gateway/policy/request_lifecycle.py
+++ b/gateway/policy/request_lifecycle.py
@@ -49,7 +49,7 @@
             cost=event.cost,
             is_retry=event.is_retry,
             finish_by=event.deadline - FINISH_MARGIN_MS,
-            objective_at=min(event.deadline, now + request_class.latency_objective_ms),
+            latency_objective_at=min(event.deadline, now + request_class.latency_objective_ms),
         )
         self.requests[request.id] = request
         if lease.shared_bucket is None:
@@ -75,16 +75,17 @@
 
     def on_attempt_ended(self, now: float, event: events.AttemptEnded, actions: Actions) -> None:
         """Finish the request of an attempt, or retry it, if no other attempt of it is in flight."""
-        attempt = self.retries.end(now, event)
+        attempt = self.retries.end_attempt(now, event)
         if attempt is None or event.request_id not in self.requests:
             return
         request = attempt.request
         if event.request_finished or event.outcome is events.Outcome.OK:
             del self.requests[request.id]
-            self.retries.cancel_all(request, actions)
-        elif not request.live_attempts:
-            price = 0.0 if event.outcome in events.NOT_PROCESSED else 1.0  # backends did no work for these
-            if not self.retries.retry(now, request, actions, price):
+            self.retries.cancel_attempts(request, actions)
+        elif not request.attempts_in_flight:
+            # Attempts that were not processed cost the backends no work.
+            budget_cost = 0.0 if event.outcome in events.NOT_PROCESSED else 1.0
+            if not self.retries.retry(now, request, actions, budget_cost):
                 self._finish(request, actions)
 
     def on_timer(self, now: float, request_id: str, actions: Actions) -> None:
@@ -97,16 +98,16 @@
         elif not request.attempt_count:
             self._admit(now, request, actions)  # the counter has not responded in time
         else:
-            self.retries.check_overdue(now, request, actions)
+            self.retries.handle_overdue_attempt(now, request, actions)
 
     def _admit(self, now: float, request: PendingRequest, actions: Actions) -> None:
         """Forward a request if its lease, the load and the backends let it, else reject it."""
         lease = request.lease
         shortfall = request.token_shortfall()
-        delay_ms = self.admission.queueing_delay(now, self.retries.attempts.values())
-        relative_delay = delay_ms / max(request.request_class.latency_objective_ms, 1.0)
-        self.retries.earn(has_spare_capacity=relative_delay < SPARE_DELAY_FRACTION)
-        is_admitted = self.admission.admits(request, shortfall, relative_delay, now + delay_ms)
+        queueing_delay_ms = self.admission.queueing_delay(now, self.retries.attempts.values())
+        relative_delay = queueing_delay_ms / max(request.request_class.latency_objective_ms, 1.0)
+        self.retries.add_to_budget(has_spare_capacity=relative_delay < SPARE_DELAY_FRACTION)
+        is_admitted = self.admission.admits(request, shortfall, relative_delay, now + queueing_delay_ms)
         backend = self.balancer.pick(now, request) if is_admitted else None
         if backend is None:
             self._finish(request, actions, self.admission.quota_wait(request, shortfall))
@@ -114,12 +115,12 @@
         if lease.shared_bucket is not None:
             self.counter.usage.charge(request, shortfall, actions)
         lease.spend(request.cost)
-        self.retries.start(now, request, backend, actions)
+        self.retries.start_attempt(now, request, backend, actions)
 
     def _finish(self, request: PendingRequest, actions: Actions, quota_wait_ms: float = 0.0) -> None:
         """Send the final response: a rejection only where it is safe to send the request again."""
         del self.requests[request.id]
         self.counter.usage.refund(request, actions)
-        wait_ms = self.admission.retry_after(request, quota_wait_ms)
-        actions.append(Reject(request.id, wait_ms) if is_safe_to_resend(request) else Fail(request.id))
-        self.retries.cancel_all(request, actions)
+        retry_after_ms = self.admission.retry_after(request, quota_wait_ms)
+        actions.append(Reject(request.id, retry_after_ms) if is_safe_to_resend(request) else Fail(request.id))
+        self.retries.cancel_attempts(request, actions)
--- a/gateway/policy/requests.py
+++ b/gateway/policy/requests.py
@@ -33,14 +33,14 @@
     """Whether its client has sent it before."""
     finish_by: float
     """When it gets its final response at the latest."""
-    objective_at: float
+    latency_objective_at: float
     """When its latency objective, or its deadline if that is earlier, passes."""
     check_at: float = math.inf
     attempt_count: int = 0
-    live_attempts: set[int] = field(default_factory=set)
+    attempts_in_flight: set[int] = field(default_factory=set)
     """The numbers of the attempts in flight."""
     tried_backend_ids: set[int] = field(default_factory=set)
-    possibly_run: list[Attempt] = field(default_factory=list)
+    possibly_run_attempts: list[Attempt] = field(default_factory=list)
     """The attempts that have run, may have run or are in flight, the earliest first."""
     reported_cost: float = 0.0
     """Units of it that the counter holds."""
@@ -50,17 +50,17 @@
     def begin_attempt(self, now: float, backend: Backend) -> Attempt:
         """Record an attempt that is being started; its number is the count of those before it."""
         attempt = Attempt(self, backend, now)
-        self.live_attempts.add(self.attempt_count)
-        self.possibly_run.append(attempt)
+        self.attempts_in_flight.add(self.attempt_count)
+        self.possibly_run_attempts.append(attempt)
         self.tried_backend_ids.add(backend.id)
         self.attempt_count += 1
         return attempt
 
     def end_attempt(self, number: int, attempt: Attempt, *, may_have_run: bool) -> None:
         """Record the end of an attempt."""
-        self.live_attempts.remove(number)
+        self.attempts_in_flight.remove(number)
         if not may_have_run:
-            self.possibly_run.remove(attempt)
+            self.possibly_run_attempts.remove(attempt)
 
     def token_shortfall(self) -> float:
         """Tokens that its lease lacks to pay for it; not positive where it is within the quota."""
@@ -68,9 +68,9 @@
             return self.assumed_shortfall
         return self.cost - self.lease.tokens if self.lease.plan.rate else 0.0
 
-    def schedule_check(self, now: float, at: float, actions: Actions) -> None:
+    def schedule_check(self, now: float, check_at: float, actions: Actions) -> None:
         """Check the request again at a time, and at the latest when it has to be finished."""
-        self.check_at = min(at, self.finish_by)
+        self.check_at = min(check_at, self.finish_by)
         actions.append(SetTimer(max(0.0, self.check_at - now), TimerToken(TimerKind.REQUEST, self.id)))
 
     def replace_reported_cost(self, units: float) -> float:
--- a/gateway/policy/retries.py
+++ b/gateway/policy/retries.py
@@ -35,12 +35,12 @@
         self.budget = MAX_RETRY_BUDGET
         self.attempts: dict[tuple[str, int], Attempt] = {}  # in flight, the oldest first
 
-    def earn(self, *, has_spare_capacity: bool) -> None:
+    def add_to_budget(self, *, has_spare_capacity: bool) -> None:
         """Add to the budget for a request that has arrived."""
         earned = SPARE_RETRIES_PER_REQUEST if has_spare_capacity else RETRIES_PER_REQUEST
         self.budget = min(MAX_RETRY_BUDGET, self.budget + earned)
 
-    def start(self, now: float, request: PendingRequest, backend: Backend, actions: Actions) -> None:
+    def start_attempt(self, now: float, request: PendingRequest, backend: Backend, actions: Actions) -> None:
         """Start an attempt of a request at a backend."""
         self.backends.remember(backend)
         backend.begin_attempt()
@@ -50,7 +50,7 @@
         attempt = self.attempts[request.id, number] = request.begin_attempt(now, backend)
         request.schedule_check(now, now + self.outliers.attempt_timeout(now, attempt), actions)
 
-    def end(self, now: float, event: AttemptEnded) -> Attempt | None:
+    def end_attempt(self, now: float, event: AttemptEnded) -> Attempt | None:
         """Record the end of an attempt; None if it is not known."""
         attempt = self.attempts.pop((event.request_id, event.attempt_number), None)
         if attempt is None:
@@ -63,31 +63,31 @@
         self.outliers.record_outcome(now, attempt, event.outcome)
         return attempt
 
-    def retry(self, now: float, request: PendingRequest, actions: Actions, price: float) -> bool:
-        """Start another attempt if one can be in time and the budget holds its price."""
-        backend = self._pick_for_retry(now, request, price)
+    def retry(self, now: float, request: PendingRequest, actions: Actions, budget_cost: float) -> bool:
+        """Start another attempt if one can be in time and the budget holds its cost."""
+        backend = self._pick_for_retry(now, request, budget_cost)
         if backend is None:
             return False
-        self.budget -= price
-        self.start(now, request, backend, actions)
+        self.budget -= budget_cost
+        self.start_attempt(now, request, backend, actions)
         return True
 
-    def check_overdue(self, now: float, request: PendingRequest, actions: Actions) -> None:
+    def handle_overdue_attempt(self, now: float, request: PendingRequest, actions: Actions) -> None:
         """Hedge an attempt that takes far longer than usual, or cancel it, which leads to a retry."""
         request.schedule_check(now, math.inf, actions)
-        if len(request.live_attempts) != 1 or request.request_class.idempotency is Idempotency.UNSAFE:
+        if len(request.attempts_in_flight) != 1 or request.request_class.idempotency is Idempotency.UNSAFE:
             return
         if self.settings.hedging_allowed:
-            self.retry(now, request, actions, price=1.0)
-        elif self._pick_for_retry(now, request, price=1.0):
-            self.cancel_all(request, actions)
+            self.retry(now, request, actions, budget_cost=1.0)
+        elif self._pick_for_retry(now, request, budget_cost=1.0):
+            self.cancel_attempts(request, actions)
 
-    def cancel_all(self, request: PendingRequest, actions: Actions) -> None:
+    def cancel_attempts(self, request: PendingRequest, actions: Actions) -> None:
         """Cancel the attempts of a request that are in flight."""
         if self.settings.cancellation_supported:
-            actions.extend([CancelAttempt(request.id, number) for number in request.live_attempts])
+            actions.extend([CancelAttempt(request.id, number) for number in request.attempts_in_flight])
 
-    def _pick_for_retry(self, now: float, request: PendingRequest, price: float) -> Backend | None:
-        is_in_time = now + self.outliers.stats.typical_ms < request.objective_at
+    def _pick_for_retry(self, now: float, request: PendingRequest, budget_cost: float) -> Backend | None:
+        is_in_time = now + self.outliers.stats.typical_latency_ms < request.latency_objective_at
         may_retry = is_in_time and request.attempt_count < self.settings.max_attempts
-        return self.balancer.pick(now, request) if may_retry and self.budget >= price else None
+        return self.balancer.pick(now, request) if may_retry and self.budget >= budget_cost else None
--- a/gateway/policy/retry_safety.py
+++ b/gateway/policy/retry_safety.py
@@ -21,7 +21,7 @@
 
 def is_safe_to_resend(request: PendingRequest) -> bool:
     """Whether the client may send the request again without any risk of a second effect."""
-    if not request.possibly_run:
+    if not request.possibly_run_attempts:
         return True
     idempotency = request.request_class.idempotency
     is_key_known_to_all = request.request_class.deduplication_scope is DeduplicationScope.ALL
@@ -31,10 +31,10 @@
 
 def retry_window_end(request: PendingRequest) -> float:
     """When a retry must have begun, so that backends still drop it if the first attempt has run."""
-    if request.request_class.idempotency is not Idempotency.WITH_KEY or not request.possibly_run:
+    if request.request_class.idempotency is not Idempotency.WITH_KEY or not request.possibly_run_attempts:
         return math.inf
-    first = request.possibly_run[0]
-    return first.started_at + request.request_class.deduplication_window_ms - DEDUPLICATION_MARGIN_MS
+    first_attempt = request.possibly_run_attempts[0]
+    return first_attempt.started_at + request.request_class.deduplication_window_ms - DEDUPLICATION_MARGIN_MS
 
 
 def may_run_on(now: float, request: PendingRequest, backend: Backend) -> bool:
@@ -42,30 +42,30 @@
     if backend.id in request.tried_backend_ids:
         return False
     idempotency = request.request_class.idempotency
-    if not request.possibly_run or idempotency is Idempotency.IDEMPOTENT:
+    if not request.possibly_run_attempts or idempotency is Idempotency.IDEMPOTENT:
         return True
     if idempotency is Idempotency.UNSAFE or now >= retry_window_end(request):
         return False
     scope = request.request_class.deduplication_scope
-    first = request.possibly_run[0].backend
-    is_same_zone = first.zone == backend.zone
-    is_in_scope = is_same_zone and (scope is DeduplicationScope.ZONE or first.cell == backend.cell)
+    first_backend = request.possibly_run_attempts[0].backend
+    is_same_zone = first_backend.zone == backend.zone
+    is_in_scope = is_same_zone and (scope is DeduplicationScope.ZONE or first_backend.cell == backend.cell)
     return scope is DeduplicationScope.ALL or is_in_scope
 
 
 def must_not_run_again(request: PendingRequest) -> bool:
     """Whether no backend may get another attempt."""
-    return bool(request.possibly_run) and request.request_class.idempotency is Idempotency.UNSAFE
+    return bool(request.possibly_run_attempts) and request.request_class.idempotency is Idempotency.UNSAFE
 
 
 def required_cell(request: PendingRequest) -> tuple[str, int] | None:
     """The zone and cell in which the next attempt has to run; None if it may run in more than one cell."""
     request_class = request.request_class
     if (
-        not request.possibly_run
+        not request.possibly_run_attempts
         or request_class.idempotency is not Idempotency.WITH_KEY
         or request_class.deduplication_scope is not DeduplicationScope.CELL
     ):
         return None
-    first = request.possibly_run[0].backend
-    return first.zone, first.cell
+    first_backend = request.possibly_run_attempts[0].backend
+    return first_backend.zone, first_backend.cell
--- a/gateway/policy/timers.py
+++ b/gateway/policy/timers.py
@@ -15,7 +15,7 @@
     """Usage of a customer is to be reported to the counter."""
     WATCH_ENDPOINTS = "follow"
     """The watch of the endpoint list is to be opened again after a failure."""
-    BUILD_ORDER = "order"
+    REBUILD_SUBSET = "order"
     """The next step of ordering a long endpoint list is due."""
 
 
@@ -23,16 +23,16 @@
     """Identifies a timer: its kind, and the request id or customer key that it belongs to."""
 
     kind: TimerKind
-    subject: str = ""
+    key: str = ""
 
     def encode(self) -> str:
         """The token as text, for hosts that keep timers outside this process."""
-        return self.kind.value + self.subject
+        return self.kind.value + self.key
 
     @classmethod
     def decode(cls, text: str) -> TimerToken:
         """The token of a text that `encode` gave. Raises ValueError for any other text."""
-        for kind in (TimerKind.WATCH_ENDPOINTS, TimerKind.BUILD_ORDER):
+        for kind in (TimerKind.WATCH_ENDPOINTS, TimerKind.REBUILD_SUBSET):
             if text == kind.value:
                 return cls(kind)
         return cls(TimerKind(text[:1]), text[1:])
--- a/tests/policy/test_subset_use.py
+++ b/tests/policy/test_subset_use.py
@@ -30,7 +30,7 @@
 GATEWAY_INDEX = 1_234
 PART_SIZE = 64
 """Endpoints in a part of a snapshot."""
-REBUILD_TIMER = SetTimer(0.0, TimerToken(TimerKind.BUILD_ORDER))
+REBUILD_TIMER = SetTimer(0.0, TimerToken(TimerKind.REBUILD_SUBSET))
 
 
 def deliver_snapshot(policy: GatewayPolicy, list_length: int) -> None:
--- a/tests/support/policy_harness.py
+++ b/tests/support/policy_harness.py
@@ -170,7 +170,7 @@
     def set_response_rate(self, responses_per_s: float) -> None:
         """Let the policy have measured this rate of responses just now."""
         self.policy.stats.response_rate = responses_per_s
-        self.policy.stats.responded_at = self.now
+        self.policy.stats.rate_updated_at = self.now
 
 
 def attempts_in(actions: Iterable[Action]) -> list[StartAttempt]:
