--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -117,7 +117,7 @@
     assert rejections_in(actions) == [Reject(attempt.request_id, retry_after_ms)]
 
 
-def test_a_plan_is_known_by_its_settings_not_by_its_name() -> None:
+def test_decisions_depend_on_a_plan_s_settings_not_on_its_name() -> None:
     renamed = Plan("zzz", BASIC.rate, BASIC.burst)
     harness = PolicyHarness(plans=(BASIC,))
     harness_of_renamed = PolicyHarness(plans=(renamed,))
--- a/tests/policy/test_policy_files.py
+++ b/tests/policy/test_policy_files.py
@@ -43,7 +43,7 @@
 def test_the_readme_s_example_runs() -> None:
     example = re.findall(r"```python\n(.*?)```", (ROOT / "README.md").read_text(), re.S)
     assert len(example) == 1
-    space: dict[str, object] = {}
-    exec(example[0], space)
-    assert space["sent"]
-    assert space["served"]
+    namespace: dict[str, object] = {}
+    exec(example[0], namespace)
+    assert namespace["sent"]
+    assert namespace["served"]
--- a/tests/policy/test_safety_rules.py
+++ b/tests/policy/test_safety_rules.py
@@ -38,7 +38,7 @@
     REQUEST = "r"
     END_ATTEMPT = "o"
     PASS_TIME = "t"
-    CHANGE_LIST = "l"
+    CHANGE_ENDPOINT = "l"
     COUNTER_RESPONSE = "c"
     DISCONNECT = "x"
 
@@ -92,14 +92,14 @@
         return [attempt for attempt in self.attempts if attempt.may_have_run]
 
 
-class OpenAttempt(NamedTuple):
+class AttemptId(NamedTuple):
     """Identifies an attempt that is in flight."""
 
     request_id: str
     number: int
 
 
-class HardLimitMeter:
+class HardLimitBucket:
     """The most that one gateway may forward under the hard limit of the plan FIRM."""
 
     def __init__(self, now: float) -> None:
@@ -125,8 +125,8 @@
         self.requests: dict[str, ObservedRequest] = {}
         self.counter_calls: list[IncrementCounter] = []
         self.states = dict.fromkeys(range(BACKEND_COUNT), READY)
-        self.notified_at = dict.fromkeys(range(BACKEND_COUNT), -math.inf)
-        self.hard_limit = HardLimitMeter(self.harness.now)
+        self.last_ready_at = dict.fromkeys(range(BACKEND_COUNT), -math.inf)
+        self.hard_limit = HardLimitBucket(self.harness.now)
 
     def check(self, actions: list[Action]) -> None:
         """Check actions that the policy has just returned."""
@@ -149,16 +149,16 @@
         assert now <= request.deadline
         assert len(request.attempts) < MAX_ATTEMPTS
         assert self.hedging_allowed or all(earlier.outcome is not None for earlier in request.attempts)
-        self._check_repetition(request, attempt)
+        self._check_retry_safety(request, attempt)
         is_ready = self.states[action.backend_id] is READY
         grace_ms = SAFETY_RULES.drain_grace_ms
-        assert is_ready or now - self.notified_at[action.backend_id] <= grace_ms
+        assert is_ready or now - self.last_ready_at[action.backend_id] <= grace_ms
         if not request.attempts:
             self.hard_limit.take(now)
         request.attempts.append(attempt)
 
     @staticmethod
-    def _check_repetition(request: ObservedRequest, attempt: ObservedAttempt) -> None:
+    def _check_retry_safety(request: ObservedRequest, attempt: ObservedAttempt) -> None:
         earlier_attempts = request.attempts_that_may_have_run()
         assert request.request_class != UNSAFE.name or not earlier_attempts
         if request.request_class == WITH_KEY.name:
@@ -182,12 +182,12 @@
             case StepKind.REQUEST:
                 self._request(CLASS_NAMES[step.choice % 3], 500 + step.amount * 5)
             case StepKind.END_ATTEMPT:
-                if open_attempts := self._open_attempts():
-                    self._end_attempt(open_attempts[step.amount % len(open_attempts)], OUTCOMES[step.choice])
+                if in_flight := self._attempts_in_flight():
+                    self._end_attempt(in_flight[step.amount % len(in_flight)], OUTCOMES[step.choice])
             case StepKind.PASS_TIME:
                 self.pass_time(step.amount)
-            case StepKind.CHANGE_LIST:
-                self._change_list(step)
+            case StepKind.CHANGE_ENDPOINT:
+                self._change_endpoint(step)
             case StepKind.COUNTER_RESPONSE:
                 if self.counter_calls:
                     call = self.counter_calls.pop(0)
@@ -200,7 +200,7 @@
         """Let time pass; attempts that are in flight at their request's deadline time out."""
         for _ in range(int(milliseconds // 50) + 1):
             self.check(self.harness.pass_time(50))
-            for attempt in self._open_attempts():
+            for attempt in self._attempts_in_flight():
                 if self.harness.now >= self.requests[attempt.request_id].deadline:
                     self._end_attempt(attempt, Outcome.TIMED_OUT)
 
@@ -209,15 +209,15 @@
         self.requests[request_id] = ObservedRequest(request_class, self.harness.now + remaining_ms)
         self.check(self.harness.request(request_class, FIRM.name, remaining_ms=remaining_ms))
 
-    def _open_attempts(self) -> list[OpenAttempt]:
+    def _attempts_in_flight(self) -> list[AttemptId]:
         return [
-            OpenAttempt(request_id, number)
+            AttemptId(request_id, number)
             for request_id, request in self.requests.items()
             for number, attempt in enumerate(request.attempts)
             if attempt.outcome is None
         ]
 
-    def _end_attempt(self, attempt: OpenAttempt, outcome: Outcome) -> None:
+    def _end_attempt(self, attempt: AttemptId, outcome: Outcome) -> None:
         request = self.requests[attempt.request_id]
         observed = request.attempts[attempt.number]
         observed.outcome = outcome
@@ -233,12 +233,12 @@
         )
         self.check(self.harness.deliver(ended))
 
-    def _change_list(self, step: Step) -> None:
+    def _change_endpoint(self, step: Step) -> None:
         now = self.harness.now
         state = STATES[step.choice % 3]
         backend_id = step.amount % BACKEND_COUNT
         if self.states[backend_id] is READY:
-            self.notified_at[backend_id] = now
+            self.last_ready_at[backend_id] = now
         self.states[backend_id] = state
         started_at = now - 100 if step.choice > 4 else 0.0
         endpoint = create_endpoint(backend_id, state, started_at=started_at, cell=backend_id % CELL_COUNT)
@@ -280,7 +280,7 @@
     assert not checker.harness.policy.requests
 
 
-def play_fixed_history(seed: int) -> list[TimedAction]:
+def run_fixed_event_sequence(seed: int) -> list[TimedAction]:
     """Four hundred requests of all classes with outcomes of many kinds; returns all actions."""
     harness = PolicyHarness(seed=seed)
     for number in range(400):
@@ -295,10 +295,10 @@
     return harness.log
 
 
-DIGEST_OF_HISTORY = """
+DIGEST_SCRIPT = """
 import hashlib
-from tests.policy.test_safety_rules import play_fixed_history
-print(hashlib.sha256(repr(play_fixed_history(7)).encode()).hexdigest())
+from tests.policy.test_safety_rules import run_fixed_event_sequence
+print(hashlib.sha256(repr(run_fixed_event_sequence(7)).encode()).hexdigest())
 """
 
 
@@ -306,7 +306,7 @@
     """The digest of a fixed history that is played by a process with that hash seed."""
     root = Path(__file__).parents[2]
     process = subprocess.run(
-        [sys.executable, "-c", DIGEST_OF_HISTORY],
+        [sys.executable, "-c", DIGEST_SCRIPT],
         env={**os.environ, "PYTHONHASHSEED": hash_seed, "PYTHONPATH": str(root)},
         capture_output=True,
         text=True,
@@ -316,7 +316,7 @@
 
 
 def test_the_same_events_give_the_same_actions() -> None:
-    assert play_fixed_history(7) == play_fixed_history(7)
+    assert run_fixed_event_sequence(7) == run_fixed_event_sequence(7)
 
 
 def test_the_same_events_give_the_same_actions_under_other_hash_seeds() -> None:
