--- a/gateway/policy/admission.py
+++ b/gateway/policy/admission.py
@@ -1,4 +1,4 @@
-"""Admission control: quotas, hard limits and load shedding by the estimated queueing delay."""
+"""Admission control by quotas, hard limits and load; load is shed by the estimated queueing delay."""
 
 import random
 from collections.abc import Iterable
@@ -11,31 +11,34 @@
 """Estimated queueing delay, as a fraction of the latency objective, above which requests are shed."""
 
 SHED_RAMP_FRACTION = 0.5
-"""Where a gateway has few attempts in flight, the shed probability rises from 0 to 1 over this further
-fraction of the latency objective."""
+"""Width of the range of queueing delays, as a fraction of the latency objective, in which the shed
+probability rises from 0 to 1 at a gateway with few allowed attempts in flight; other gateways shed all
+requests above the start of the range."""
 
 LOW_PRIORITY_DELAY_REDUCTION = 0.25
-"""Fraction by which the delay for shedding is reduced for a request class of no weight; others in
-proportion."""
+"""Fraction by which the delay above which requests are shed is reduced for a request class whose priority
+weight is 0; for other classes the reduction is proportional to how far their weight is below the largest."""
 
 SPARE_DELAY_FRACTION = 0.1
-"""Estimated queueing delay, as a fraction of the latency objective, under which there is spare capacity."""
+"""Estimated queueing delay, as a fraction of the latency objective, below which there is spare capacity."""
 
 IN_FLIGHT_PER_BACKEND = 3.0
-"""Attempts of all gateways together that a backend may always have in flight."""
+"""Attempts, over all gateways, that each backend may always have in flight."""
 
 MIN_IN_FLIGHT_FOR_ESTIMATE = 2.0
-"""Attempts in flight at this gateway under which their number does not show a queue."""
+"""Allowed attempts in flight at this gateway below which their number does not show a queue."""
 
 RELIABLE_IN_FLIGHT = 9.0
-"""Attempts in flight above which their number alone shows a queue: the rate is known to about a third."""
+"""Attempts in flight above which their number alone shows a queue: the response rate is then known to within
+about a third."""
 
 RETRY_AFTER_FRACTION = 0.4
-"""Delay before a client should retry, as a fraction of the latency objective, if no quota determines it."""
+"""Delay before a client should retry, as a fraction of the latency objective, if its quota does not determine
+the delay."""
 
 
 class AdmissionController:
-    """Decides whether a request is forwarded, and when a client should retry one that is rejected."""
+    """Decides whether a request is forwarded, and when the client should retry a rejected one."""
 
     def __init__(self, settings: Settings, rng: random.Random, stats: ResponseStats) -> None:
         self.settings = settings
@@ -45,19 +48,23 @@
         self.allowed_in_flight = 0.0
 
     def set_backend_count(self, count: int) -> None:
-        """Allow this gateway its even share of the attempts that `count` backends may always have."""
+        """Set this gateway's even share of the attempts that `count` backends are always allowed."""
         self.allowed_in_flight = IN_FLIGHT_PER_BACKEND * count / max(1, self.settings.gateway_count)
 
     def queueing_delay(self, now: float, attempts: Iterable[Attempt]) -> float:
-        """Milliseconds that one more request should take: attempts in flight over the rate (Little's law).
-
-        The latency of responses shows an overload, and its end, only after a whole queue has passed; the
-        number of attempts in flight is known at once. It shows floods, slow backends and lost capacity alike.
-        Where this gateway's share of the attempts is too small to show a queue, the latency decides.
-
-        With few attempts in flight, Little's law is too noisy: chance alone doubles the estimate, rejections
-        lower the rate and raise it further, and all gateways of a large fleet would shed load though no
-        backend is busy. So it requires elevated latency as well, in which attempts that are late count, too.
+        """Estimate how many milliseconds one more request would take.
+
+        The estimate is the number of attempts in flight divided by the response rate (Little's law), and 0
+        while that number is within this gateway's share of the attempts that are always allowed. The
+        latency of responses shows an overload, and its end, only after a whole queue has been processed,
+        while the number of attempts in flight is known at once. It rises with floods of requests, slow
+        backends and lost capacity alike. Where this gateway's share of the attempts is too small to show a
+        queue, the estimate is based on the recent latency instead.
+
+        With few attempts in flight, Little's law is too noisy: chance alone can double the estimate,
+        rejections lower the response rate and so raise the estimate further, and all gateways of a large
+        fleet would shed load although no backend is busy. So the estimate is then at most the recent
+        latency, in which overdue attempts count, too: load is shed only if the latency is elevated as well.
         """
         stats = self.stats
         latency_ms = stats.decayed_recent_latency(now)
@@ -65,7 +72,7 @@
         in_flight = 1
         for _, _, started_at in attempts:
             age_ms = now - started_at
-            if age_ms < lost_after_ms:  # an attempt that is lost does not wait in a queue
+            if age_ms < lost_after_ms:  # a lost attempt does not wait in a queue
                 latency_ms *= max(1.0, age_ms / latency_ms) ** MIN_RECENT_LATENCY_WEIGHT
                 in_flight += 1
         if self.allowed_in_flight < MIN_IN_FLIGHT_FOR_ESTIMATE:
@@ -78,10 +85,11 @@
     def admits(
         self, request: PendingRequest, shortfall: float, relative_delay: float, expected_response_at: float
     ) -> bool:
-        """Whether quota, limits and load let a request pass that would get its response then.
+        """Return whether the quota, the limits and the load allow a request to be forwarded.
 
-        `shortfall` is the tokens that its lease lacks, `relative_delay` the estimated queueing delay as a
-        fraction of its latency objective.
+        `shortfall` is the number of tokens that the request's lease lacks, `relative_delay` the estimated
+        queueing delay as a fraction of the request's latency objective, and `expected_response_at` the time
+        at which the response would arrive.
         """
         lease = request.lease
         plan = lease.plan
@@ -95,21 +103,29 @@
         return not is_over_limit and not is_shed and expected_response_at <= request.latency_objective_at
 
     def quota_wait(self, request: PendingRequest, shortfall: float) -> float:
-        """Milliseconds until the quota has a request's tokens; 0 if it does not lack them."""
+        """Return the milliseconds until the quota has enough tokens for a request; 0 if it has them now."""
         if shortfall <= 0:
             return 0.0
         lease = request.lease
-        if lease.shared_bucket:  # jitter: all that are rejected now would retry for the same token
+        if lease.shared_bucket:
+            # Without jitter, all requests that are rejected now would be retried for the same token.
             return lease.shared_bucket.wait(shortfall + request.cost * self.rng.random())
         return shortfall * 1000 / max(lease.plan.rate * lease.share, 1e-9)
 
     def retry_after(self, request: PendingRequest, quota_wait_ms: float) -> float:
-        """Milliseconds after which a client should retry: once its quota, or the fault, allows it."""
+        """Return the milliseconds after which a client should retry a request.
+
+        It is the wait for the quota; if the quota is not the reason for the rejection, it is a fraction of
+        the latency objective, so that the fault may be over by then.
+        """
         wait_ms = quota_wait_ms or request.request_class.latency_objective_ms * RETRY_AFTER_FRACTION
         return min(wait_ms, self.settings.max_retry_after_ms)
 
     def _is_shed(self, request: PendingRequest, relative_delay: float) -> bool:
-        """Shed early what would be too late to be of use, requests of low priority first."""
+        """Return whether to shed a request, because its response would be too late to be of use.
+
+        Requests of low priority are shed first.
+        """
         priority_gap = 0.0
         if self.max_priority_weight:
             priority_gap = 1 - request.request_class.priority_weight / self.max_priority_weight
--- a/gateway/policy/policy.py
+++ b/gateway/policy/policy.py
@@ -1,6 +1,6 @@
-"""The policy of one gateway: passes each event to the part that decides, and returns the parts' actions.
+"""The policy of one gateway: passes each event to the component that handles it, and returns the actions.
 
-It knows its settings, seed, `now` (milliseconds) and events (gateway/policy/events.py); nothing else.
+Its only inputs are settings, a seed, the time in milliseconds and events (gateway/policy/events.py).
 """
 
 import random
@@ -27,7 +27,7 @@
 
 
 class GatewayPolicy:
-    """The decisions of one gateway; the same settings, seed and events give the same actions."""
+    """Makes the decisions of one gateway; the same settings, seed, times and events give the same actions."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         rng = random.Random(seed)
@@ -57,15 +57,15 @@
             events.CounterResponse: self.lifecycle.on_counter_response,
             events.EndpointUpdate: self.endpoint_updates.on_update,
             events.ClientDisconnected: self.lifecycle.on_client_disconnected,
-        }  # other events change no decision
+        }  # events of other types are ignored
 
     @property
     def subset(self) -> list[Backend]:
-        """The backends that this gateway uses."""
+        """The backends that this gateway uses, a subset of the endpoint list."""
         return self.backends.endpoints.backends
 
     def handle(self, now: float, event: events.Event) -> Actions:
-        """Handle an event and return the actions that it leads to, in order."""
+        """Handle an event and return the resulting actions in order."""
         actions: Actions = []
         if not self.has_started:
             self.has_started = True
--- a/gateway/policy/request_lifecycle.py
+++ b/gateway/policy/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""Takes each request from its arrival to its one final response; all times are milliseconds."""
+"""The steps of a request from its arrival to its one final response; all times are milliseconds."""
 
 from . import events
 from .actions import Actions, Fail, Reject
@@ -11,10 +11,11 @@
 from .settings import RequestClass, Settings
 
 FINISH_MARGIN_MS = 50.0
-"""A request gets its final response this long before its deadline, so that the response arrives in time."""
+"""A request that is still pending this long before its deadline gets its final response then, so that the
+response arrives in time."""
 
 TIMER_TOLERANCE_MS = 1.0
-"""A timer that fires this much earlier than it was set for counts as in time."""
+"""A timer that fires at most this early counts as having fired on time."""
 
 
 class RequestLifecycle:
@@ -37,7 +38,7 @@
         self.retries = retries
 
     def on_arrival(self, now: float, event: events.RequestArrived, actions: Actions) -> None:
-        """Take in a request; it is decided at once, unless it waits for a read of its shared bucket."""
+        """Register a request; admit or reject it at once, unless its shared bucket must be read first."""
         remaining_ms = event.deadline - now
         name = event.request_class
         request_class = self.request_classes.get(name) or RequestClass(name, remaining_ms, remaining_ms)
@@ -59,12 +60,12 @@
         self._admit(now, request, actions)
 
     def on_client_disconnected(self, _now: float, event: events.ClientDisconnected, actions: Actions) -> None:
-        """Forget a request that nobody waits for any more."""
+        """Forget a request whose client has disconnected, and refund its cost if it was not forwarded."""
         if request := self.requests.pop(event.request_id, None):
             self.counter.usage.refund(request, actions)
 
     def on_counter_response(self, now: float, event: events.CounterResponse, actions: Actions) -> None:
-        """Handle a response of the counter, and decide the request that has waited for it."""
+        """Handle a response of the counter, and admit or reject the request that waited for it."""
         request = self.counter.on_response(now, event, actions)
         if request is None:
             return
@@ -74,7 +75,10 @@
             self.counter.usage.report(now, lease, lease.shared_bucket, actions)
 
     def on_attempt_ended(self, now: float, event: events.AttemptEnded, actions: Actions) -> None:
-        """Finish the request of an attempt, or retry it, if no other attempt of it is in flight."""
+        """Finish or retry the request of an attempt that has ended.
+
+        While another attempt of the request is in flight, a failed attempt has no effect on it.
+        """
         attempt = self.retries.end_attempt(now, event)
         if attempt is None or event.request_id not in self.requests:
             return
@@ -89,19 +93,19 @@
                 self._finish(request, actions)
 
     def on_timer(self, now: float, request_id: str, actions: Actions) -> None:
-        """Check a request whose timer has fired, unless a later check was scheduled meanwhile."""
+        """Check a request whose timer has fired, unless a later check has been scheduled since."""
         request = self.requests.get(request_id)
         if request is None or now < request.check_at - TIMER_TOLERANCE_MS:
             return
         if now >= request.finish_by - TIMER_TOLERANCE_MS:
-            self._finish(request, actions)  # every pending request ends here at the latest
+            self._finish(request, actions)  # at the latest, every pending request is finished here
         elif not request.attempt_count:
             self._admit(now, request, actions)  # the counter has not responded in time
         else:
             self.retries.handle_overdue_attempt(now, request, actions)
 
     def _admit(self, now: float, request: PendingRequest, actions: Actions) -> None:
-        """Forward a request if its lease, the load and the backends let it, else reject it."""
+        """Forward a request if its lease, the load and the backends allow it; otherwise reject it."""
         lease = request.lease
         shortfall = request.token_shortfall()
         queueing_delay_ms = self.admission.queueing_delay(now, self.retries.attempts.values())
@@ -118,7 +122,7 @@
         self.retries.start_attempt(now, request, backend, actions)
 
     def _finish(self, request: PendingRequest, actions: Actions, quota_wait_ms: float = 0.0) -> None:
-        """Send the final response: a rejection only where it is safe to send the request again."""
+        """Send the final response: a rejection if the request is safe to send again, otherwise a failure."""
         del self.requests[request.id]
         self.counter.usage.refund(request, actions)
         retry_after_ms = self.admission.retry_after(request, quota_wait_ms)
--- a/gateway/policy/requests.py
+++ b/gateway/policy/requests.py
@@ -1,4 +1,4 @@
-"""The requests that await a final response, and their attempts; all times are milliseconds."""
+"""Requests that await their final response, and their attempts; all times are milliseconds."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Attempt(NamedTuple):
-    """One attempt of a request at a backend."""
+    """An attempt to have a request processed by a backend."""
 
     request: PendingRequest
     backend: Backend
@@ -30,25 +30,26 @@
     lease: Lease
     cost: float
     is_retry: bool
-    """Whether its client has sent it before."""
+    """Whether the client has sent the request before."""
     finish_by: float
-    """When it gets its final response at the latest."""
+    """The time at which the request gets its final response at the latest."""
     latency_objective_at: float
-    """When its latency objective, or its deadline if that is earlier, passes."""
+    """The time at which the request's latency objective, or its deadline if that is earlier, expires."""
     check_at: float = math.inf
     attempt_count: int = 0
     attempts_in_flight: set[int] = field(default_factory=set)
-    """The numbers of the attempts in flight."""
+    """The numbers of the request's attempts that are in flight."""
     tried_backend_ids: set[int] = field(default_factory=set)
     possibly_run_attempts: list[Attempt] = field(default_factory=list)
-    """The attempts that have run, may have run or are in flight, the earliest first."""
+    """The attempts that ran, may have run or are in flight, the earliest first."""
     reported_cost: float = 0.0
-    """Units of it that the counter holds."""
+    """Units of the request's cost that the counter includes in its total."""
     assumed_shortfall: float | None = None
-    """Tokens that it is taken to lack, if its shared bucket is not read."""
+    """Tokens that the request is assumed to lack where its shared bucket is not read; None if nothing is
+    assumed."""
 
     def begin_attempt(self, now: float, backend: Backend) -> Attempt:
-        """Record an attempt that is being started; its number is the count of those before it."""
+        """Record an attempt that is being started; its number is the count of the attempts before it."""
         attempt = Attempt(self, backend, now)
         self.attempts_in_flight.add(self.attempt_count)
         self.possibly_run_attempts.append(attempt)
@@ -57,28 +58,28 @@
         return attempt
 
     def end_attempt(self, number: int, attempt: Attempt, *, may_have_run: bool) -> None:
-        """Record the end of an attempt."""
+        """Record the end of an attempt, and whether it may have run."""
         self.attempts_in_flight.remove(number)
         if not may_have_run:
             self.possibly_run_attempts.remove(attempt)
 
     def token_shortfall(self) -> float:
-        """Tokens that its lease lacks to pay for it; not positive where it is within the quota."""
+        """Return how many tokens the lease lacks for the request; 0 or less if it is within the quota."""
         if self.assumed_shortfall is not None:
             return self.assumed_shortfall
         return self.cost - self.lease.tokens if self.lease.plan.rate else 0.0
 
     def schedule_check(self, now: float, check_at: float, actions: Actions) -> None:
-        """Check the request again at a time, and at the latest when it has to be finished."""
+        """Set a timer to check the request again at `check_at`, but no later than `finish_by`."""
         self.check_at = min(check_at, self.finish_by)
         actions.append(SetTimer(max(0.0, self.check_at - now), TimerToken(TimerKind.REQUEST, self.id)))
 
     def replace_reported_cost(self, units: float) -> float:
-        """Record the units of the request that the counter holds; returns those that it held before."""
+        """Record how many units of the request the counter includes, and return the previous number."""
         previous = self.reported_cost
         self.reported_cost = units
         return previous
 
     def assume_shortfall(self, tokens: float) -> None:
-        """Decide the request without reading its shared bucket, as if it lacked so many tokens."""
+        """Assume that the request lacks this many tokens, instead of reading its shared bucket."""
         self.assumed_shortfall = tokens
--- a/gateway/policy/response_stats.py
+++ b/gateway/policy/response_stats.py
@@ -1,4 +1,4 @@
-"""How fast and how often the backends respond, over all backends together."""
+"""Latency and rate of the responses of all backends together."""
 
 import math
 from dataclasses import dataclass
@@ -6,44 +6,45 @@
 from .events import Outcome
 
 TYPICAL_LATENCY_SAMPLES = 40.0
-"""Responses of which the typical latency is the moving mean."""
+"""Number of responses over which the typical latency is a moving mean."""
 
 MAX_LATENCY_RATIO = 9.0
-"""Typical latencies that a sample counts for at most, and that a response of a healthy backend may take."""
+"""Latency, as a multiple of the typical latency, at which samples are capped; it is also the longest that a
+response of a healthy backend may take."""
 
 MIN_RECENT_LATENCY_WEIGHT = 0.12
-"""Least weight of one response in the recent latency."""
+"""Minimum weight of one response in the recent latency."""
 
 RECENT_LATENCY_DECAY_MS = 4_000.0
-"""Time constant with which the recent latency decays."""
+"""Time constant of the recent latency's exponential decay."""
 
 RESPONSE_RATE_DECAY_MS = 800.0
-"""Time constant of the response rate."""
+"""Time constant of the response rate's exponential decay."""
 
 ABANDONED_OUTCOMES = (Outcome.TIMED_OUT, Outcome.CANCELLED)
-"""Outcomes of attempts that the gateway or the client stopped waiting for: the backend would have taken
-longer."""
+"""Outcomes of attempts whose response the gateway or the client no longer waited for: the backend would have
+taken longer."""
 
 
 @dataclass(slots=True, eq=False)
 class ResponseStats:
-    """Typical and recent latency in milliseconds, and successful responses a second, as last updated."""
+    """Typical and recent latency, and successful responses per second, each as of its last update."""
 
     typical_latency_ms: float = 0.0
-    """0 until the first response."""
+    """Moving mean of the latency of successful responses; 0 until the first one."""
     recent_latency_ms: float = 0.0
-    """0 until the first response."""
+    """Weighted geometric mean of recent latencies; 0 until the first sample."""
     latency_updated_at: float = 0.0
     sample_count: float = 0.0
     response_rate: float = 0.0
     rate_updated_at: float = 0.0
 
     def start(self, now: float) -> None:
-        """Begin with the first event, from which on the response rate decays."""
+        """Start at the time of the first event, from which the response rate decays."""
         self.rate_updated_at = now
 
     def capped(self, latency_ms: float) -> float:
-        """A latency, bounded so that one attempt that was lost does not make a backend look slow."""
+        """Return a latency, capped so that one lost attempt does not make a backend look slow."""
         return (
             min(latency_ms, MAX_LATENCY_RATIO * self.typical_latency_ms)
             if self.typical_latency_ms
@@ -51,21 +52,21 @@
         )
 
     def decayed_recent_latency(self, now: float) -> float:
-        """The recent latency in milliseconds, which decays while there are no responses."""
+        """Return the recent latency in milliseconds; it decays while there are no responses."""
         return max(
             1.0, self.recent_latency_ms * math.exp((self.latency_updated_at - now) / RECENT_LATENCY_DECAY_MS)
         )
 
     def decayed_response_rate(self, now: float) -> float:
-        """Successful responses a second, a rate that decays while there are none."""
+        """Return the rate of successful responses per second; it decays while there are none."""
         return self.response_rate * math.exp((self.rate_updated_at - now) / RESPONSE_RATE_DECAY_MS)
 
     def record(self, now: float, latency_ms: float, outcome: Outcome) -> None:
-        """Record the latency of an attempt that was successful or abandoned."""
+        """Record the latency of a successful or abandoned attempt."""
         if outcome is Outcome.OK or latency_ms > self.recent_latency_ms:
-            # The weight grows with the time since the last response: with few responses, old ones would
-            # otherwise keep the latency high, and requests rejected. The mean is geometric, as latencies are
-            # skewed.
+            # The weight grows with the time since the last response. Otherwise, with few responses, old
+            # ones would keep the latency high, so that requests would still be rejected. The mean is
+            # geometric because the distribution of latencies is skewed.
             weight = max(
                 MIN_RECENT_LATENCY_WEIGHT,
                 1 - math.exp((self.latency_updated_at - now) / RECENT_LATENCY_DECAY_MS),
--- a/gateway/policy/retries.py
+++ b/gateway/policy/retries.py
@@ -1,4 +1,4 @@
-"""Attempts in flight, retries within a budget, and hedged requests."""
+"""Attempts, retries within a budget, and hedged requests."""
 
 import math
 
@@ -36,12 +36,12 @@
         self.attempts: dict[tuple[str, int], Attempt] = {}  # in flight, the oldest first
 
     def add_to_budget(self, *, has_spare_capacity: bool) -> None:
-        """Add to the budget for a request that has arrived."""
+        """Add the retries that an arrived request earns to the budget."""
         earned = SPARE_RETRIES_PER_REQUEST if has_spare_capacity else RETRIES_PER_REQUEST
         self.budget = min(MAX_RETRY_BUDGET, self.budget + earned)
 
     def start_attempt(self, now: float, request: PendingRequest, backend: Backend, actions: Actions) -> None:
-        """Start an attempt of a request at a backend."""
+        """Start an attempt of a request at a backend, and schedule the check whether it is overdue."""
         self.backends.remember(backend)
         backend.begin_attempt()
         request.lease.begin_attempt()
@@ -51,7 +51,7 @@
         request.schedule_check(now, now + self.outliers.attempt_timeout(now, attempt), actions)
 
     def end_attempt(self, now: float, event: AttemptEnded) -> Attempt | None:
-        """Record the end of an attempt; None if it is not known."""
+        """Record the end of an attempt and return the attempt; None if it is not in flight."""
         attempt = self.attempts.pop((event.request_id, event.attempt_number), None)
         if attempt is None:
             return None
@@ -64,7 +64,10 @@
         return attempt
 
     def retry(self, now: float, request: PendingRequest, actions: Actions, budget_cost: float) -> bool:
-        """Start another attempt if one can be in time and the budget holds its cost."""
+        """Start another attempt if its response can be in time and the budget holds `budget_cost` retries.
+
+        Returns whether it has been started.
+        """
         backend = self._pick_for_retry(now, request, budget_cost)
         if backend is None:
             return False
@@ -83,7 +86,7 @@
             self.cancel_attempts(request, actions)
 
     def cancel_attempts(self, request: PendingRequest, actions: Actions) -> None:
-        """Cancel the attempts of a request that are in flight."""
+        """Cancel the attempts of a request that are in flight, if the deployment supports cancellation."""
         if self.settings.cancellation_supported:
             actions.extend([CancelAttempt(request.id, number) for number in request.attempts_in_flight])
 
--- a/gateway/policy/retry_safety.py
+++ b/gateway/policy/retry_safety.py
@@ -1,12 +1,12 @@
-"""When a request may run twice: its idempotency, and the scope in which backends drop a repeated key.
+"""When and where a request may run twice, by its idempotency and the scope of its deduplication.
 
-An attempt may have run although no response came. A second effect of a request must not happen, so another
-attempt may only go where it is harmless:
+An attempt may have run although no response came. A request must never take effect twice, so another attempt
+may only go where it is harmless:
 
 - an idempotent request may run anywhere, any number of times;
-- a request with an idempotency key may be sent again to the backends that would recognise the key of the
-  first attempt, until a little before their deduplication window ends;
-- an unsafe request is never sent again.
+- a request with an idempotency key may be sent again to the backends that recognise the key of the first
+  attempt, until shortly before their deduplication window ends;
+- an unsafe request is never sent again once it may have run.
 """
 
 import math
@@ -16,11 +16,12 @@
 from .settings import DeduplicationScope, Idempotency
 
 DEDUPLICATION_MARGIN_MS = 50.0
-"""A retry begins at least this long before the deduplication window ends, for its way to the backend."""
+"""A retry starts at least this long before the deduplication window ends, so that it reaches the backend in
+time."""
 
 
 def is_safe_to_resend(request: PendingRequest) -> bool:
-    """Whether the client may send the request again without any risk of a second effect."""
+    """Return whether the client may send the request again without any risk that it takes effect twice."""
     if not request.possibly_run_attempts:
         return True
     idempotency = request.request_class.idempotency
@@ -30,7 +31,7 @@
 
 
 def retry_window_end(request: PendingRequest) -> float:
-    """When a retry must have begun, so that backends still drop it if the first attempt has run."""
+    """Return when a retry must start at the latest, so that backends drop it if the first attempt ran."""
     if request.request_class.idempotency is not Idempotency.WITH_KEY or not request.possibly_run_attempts:
         return math.inf
     first_attempt = request.possibly_run_attempts[0]
@@ -38,7 +39,7 @@
 
 
 def may_run_on(now: float, request: PendingRequest, backend: Backend) -> bool:
-    """Whether the next attempt may go to a backend, given which attempts may have run."""
+    """Return whether the next attempt may go to a backend, given the attempts that may have run."""
     if backend.id in request.tried_backend_ids:
         return False
     idempotency = request.request_class.idempotency
@@ -54,12 +55,12 @@
 
 
 def must_not_run_again(request: PendingRequest) -> bool:
-    """Whether no backend may get another attempt."""
+    """Return whether no backend may get another attempt of the request."""
     return bool(request.possibly_run_attempts) and request.request_class.idempotency is Idempotency.UNSAFE
 
 
 def required_cell(request: PendingRequest) -> tuple[str, int] | None:
-    """The zone and cell in which the next attempt has to run; None if it may run in more than one cell."""
+    """Return the zone and cell in which the next attempt must run; None if more than one cell is allowed."""
     request_class = request.request_class
     if (
         not request.possibly_run_attempts
