--- a/tests/policy/conftest.py
+++ b/tests/policy/conftest.py
@@ -7,11 +7,11 @@
 
 @pytest.fixture
 def harness() -> PolicyHarness:
-    """One of two gateways, with the default settings and three ready backends."""
+    """The policy of one of two gateways, with the default settings and three ready backends."""
     return PolicyHarness()
 
 
 @pytest.fixture
 def unlimited_harness() -> PolicyHarness:
-    """The same without quotas, so that backends and load alone decide."""
+    """A policy without quotas, so that only the backends and the load decide."""
     return PolicyHarness.without_quotas()
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission: load shedding by priority, and rejections with a Retry-After."""
+"""Admission control: load shedding by priority, and rejections with a Retry-After."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def fill_until_shed(harness: PolicyHarness, request_class: str, limit: int = 500) -> list[StartAttempt]:
-    """Send requests of a class until one is not forwarded; returns the attempts in flight."""
+    """Send requests of a class until one is not forwarded, at most `limit`; return the attempts in flight."""
     in_flight: list[StartAttempt] = []
     while len(in_flight) < limit and (attempts := attempts_in(harness.request(request_class))):
         in_flight += attempts
@@ -28,14 +28,16 @@
 def test_overload_sheds_the_lower_priority_first_and_ends_with_the_load(
     unlimited_harness: PolicyHarness,
 ) -> None:
-    """Shed by latency alone, an overload would be noticed a complete queue too late, and so would its end."""
+    """If the latency alone decided, an overload and its end would be noticed one whole queue too late."""
     harness = unlimited_harness
     serve_steadily(harness)
 
     in_flight = fill_until_shed(harness, IDEMPOTENT.name)
 
     assert len(in_flight) < 100
-    assert attempts_in(harness.request(WITH_KEY.name)), "the class of higher priority is still admitted"
+    assert attempts_in(harness.request(WITH_KEY.name)), (
+        "requests of the class with the higher priority are still admitted"
+    )
 
     while attempts_in(harness.request(WITH_KEY.name)):
         pass
@@ -43,11 +45,11 @@
         harness.end_attempt(attempt)
     harness.pass_time(100)
 
-    assert attempts_in(harness.request(IDEMPOTENT.name)), "shedding ends as soon as the load has gone"
+    assert attempts_in(harness.request(IDEMPOTENT.name)), "shedding ends as soon as the load has ended"
 
 
 def test_a_gateway_without_responses_admits_requests() -> None:
-    """A limit of less than one request would never be raised: without a request there is no response."""
+    """If less than one request were allowed, no response could ever arrive to raise the limit."""
     harness = PolicyHarness.without_quotas(gateway_count=1000)
 
     actions = harness.request() + harness.request()
@@ -56,7 +58,7 @@
 
 
 def count_forwarded_one_at_a_time(harness: PolicyHarness, latency_ms: float) -> int:
-    """Attempts of the last sixty of ninety requests, each of which ends before the next arrives."""
+    """Send ninety requests, each after the end of the one before; return the attempts of the last sixty."""
     forwarded = 0
     for number in range(90):
         for attempt in attempts_in(harness.request()):
@@ -69,7 +71,7 @@
 
 
 def test_a_gateway_with_few_requests_sheds_by_recent_latency() -> None:
-    """Three requests in flight at each of hundreds of gateways are an overload that none of them sees."""
+    """Three requests in flight at each of hundreds of gateways are an overload that no gateway can detect."""
     harness = PolicyHarness.without_quotas(gateway_count=300)
 
     forwarded_before = count_forwarded_one_at_a_time(harness, latency_ms=100)
@@ -82,7 +84,8 @@
 
 
 RETRY_AFTER_BY_LIMIT = [(500.0, 400.0), (100.0, 100.0), (0.0, 0.0)]
-"""The longest Retry-After that the settings allow, and the one that a request without a retry gets."""
+"""The maximum Retry-After in the settings, and the Retry-After of a request that cannot be retried (both in
+milliseconds)."""
 
 
 @pytest.mark.parametrize(("max_retry_after_ms", "retry_after_ms"), RETRY_AFTER_BY_LIMIT)
--- a/tests/policy/test_policy.py
+++ b/tests/policy/test_policy.py
@@ -1,4 +1,4 @@
-"""What the complete policy does with any events and settings."""
+"""The complete policy with unknown events, extreme settings and no backends."""
 
 from __future__ import annotations
 
@@ -103,4 +103,6 @@
     harness.deliver(ClientDisconnected(attempt.request_id))
 
     assert harness.end_attempt(attempt, Outcome.TIMED_OUT) == []
-    assert harness.end_attempt(attempt, Outcome.TIMED_OUT) == [], "an attempt may be reported twice"
+    assert harness.end_attempt(attempt, Outcome.TIMED_OUT) == [], (
+        "the end of an attempt may be reported twice"
+    )
--- a/tests/policy/test_policy_files.py
+++ b/tests/policy/test_policy_files.py
@@ -1,4 +1,4 @@
-"""The files of the policy: the operators' list names each of them, and their lines stay narrow."""
+"""The policy's files: the operators' list names each of them; lines are at most 110 characters long."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def listed_policy_files() -> list[str]:
-    """The files that `deploy/balancer.toml` lists as the policy's."""
+    """Return the files that `deploy/balancer.toml` lists as the policy's."""
     deployment = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
     files: list[str] = deployment["policy"]
     return files
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -1,4 +1,4 @@
-"""Retries, hedged requests, the retry budget and the rules on running a request twice."""
+"""Retries, hedged requests, the retry budget, and the rules on when a request may run twice."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @pytest.fixture
 def one_cell_harness() -> PolicyHarness:
-    """Two backends of one cell, and no quotas."""
+    """A policy with two backends in one cell, and without quotas."""
     return PolicyHarness.without_quotas(TWO_BACKENDS_OF_ONE_CELL)
 
 
@@ -85,7 +85,7 @@
 
 
 def test_a_retry_with_a_key_states_until_when_it_may_start(one_cell_harness: PolicyHarness) -> None:
-    """Its connection may be established only after the backends have forgotten the key of the first one."""
+    """The connection may be established only after backends have forgotten the key of the first attempt."""
     first = only_attempt_in(one_cell_harness.request(WITH_KEY.name))
     started_at = one_cell_harness.now
     one_cell_harness.stall(300)
@@ -124,7 +124,7 @@
 
 
 def test_an_overdue_attempt_is_cancelled_and_retried_once(unlimited_harness: PolicyHarness) -> None:
-    """Cancelled too early, long requests are processed twice; too late, a hung backend holds them up."""
+    """If cancelled too early, long requests are processed twice; if too late, a hung backend delays them."""
     harness = unlimited_harness
     serve_steadily(harness, latency_ms=50)
     first = only_attempt_in(harness.request(remaining_ms=60_000))
@@ -147,7 +147,7 @@
 def test_an_overdue_attempt_is_not_cancelled_where_no_retry_may_follow(
     endpoints: list[Endpoint], max_attempts: int, request_class: str
 ) -> None:
-    """Its response may be on the way, and without a retry a cancelled attempt means a failed request."""
+    """The response may still arrive, while a cancelled attempt without a retry means a failed request."""
     harness = PolicyHarness.without_quotas(endpoints, max_attempts=max_attempts)
     serve_steadily(harness, latency_ms=50)
     only_attempt_in(harness.request(request_class))
@@ -161,7 +161,7 @@
 
 @pytest.mark.parametrize("hedging_allowed", [True, False])
 def test_a_disconnected_client_s_request_is_neither_hedged_nor_retried(hedging_allowed: bool) -> None:
-    """Neither hedged once its attempt has been in flight for long, nor retried once that has failed."""
+    """A long attempt of the request must not lead to a hedge, nor its failure to a retry."""
     harness = PolicyHarness.without_quotas(hedging_allowed=hedging_allowed)
     connected = only_attempt_in(harness.request())
     disconnected = only_attempt_in(harness.request())
--- a/tests/policy/test_safety_rules.py
+++ b/tests/policy/test_safety_rules.py
@@ -1,4 +1,4 @@
-"""Random legal event sequences: the safety rules hold, and the same events give the same actions."""
+"""Checks the safety rules on random valid event sequences, and that the same events give the same actions."""
 
 from __future__ import annotations
 
@@ -29,11 +29,11 @@
 MAX_ATTEMPTS = 3
 GATEWAY_COUNT = 2
 FINISH_TOLERANCE_MS = 8.0
-"""How late after its deadline a request may get its final response."""
+"""How long after its deadline a request may get its final response."""
 
 
 class StepKind(Enum):
-    """What happens at one step of a random history."""
+    """What happens at one step of a random event sequence."""
 
     REQUEST = "r"
     END_ATTEMPT = "o"
@@ -44,7 +44,7 @@
 
 
 class Step(NamedTuple):
-    """One step; its kind says what the choice and the amount stand for."""
+    """One step of a random event sequence; the meaning of `choice` and `amount` depends on its kind."""
 
     kind: StepKind
     choice: int
@@ -65,22 +65,22 @@
     backend_id: int
     started_at: float
     outcome: Outcome | None = None
-    """None while it is in flight."""
+    """None while the attempt is in flight."""
 
     @property
     def may_have_run(self) -> bool:
-        """Whether the backend may have processed it."""
+        """Whether the backend may have processed the attempt."""
         return self.outcome not in OUTCOMES_WITHOUT_RUN
 
     @property
     def cell(self) -> int:
-        """The cell of its backend."""
+        """The cell of the attempt's backend."""
         return self.backend_id % CELL_COUNT
 
 
 @dataclass
 class ObservedRequest:
-    """A request, its attempts, and whether it has had its final response."""
+    """A request, its attempts, and whether it has had its final response or lost its client."""
 
     request_class: str
     deadline: float
@@ -88,7 +88,7 @@
     attempts: list[ObservedAttempt] = field(default_factory=list)
 
     def attempts_that_may_have_run(self) -> list[ObservedAttempt]:
-        """The attempts after which the class restricts what may follow."""
+        """Return the attempts that may have run, after which the request class restricts retries."""
         return [attempt for attempt in self.attempts if attempt.may_have_run]
 
 
@@ -100,23 +100,23 @@
 
 
 class HardLimitBucket:
-    """The most that one gateway may forward under the hard limit of the plan FIRM."""
+    """A token bucket for one gateway's share of the hard limit of the plan FIRM."""
 
     def __init__(self, now: float) -> None:
         self.tokens = 0.0
         self.refilled_at = now
 
     def take(self, now: float) -> None:
-        """Count a request that was forwarded; it must have a token."""
+        """Take the token of a forwarded request, and check that there was one."""
         burst = FIRM.hard_limit_burst / GATEWAY_COUNT
         earned = (now - self.refilled_at) / 1000 * (FIRM.hard_limit_rate / GATEWAY_COUNT)
         self.tokens = min(burst, self.tokens + earned) - 1
         self.refilled_at = now
-        assert self.tokens >= -1e-6, "more than this gateway's share of the hard limit"
+        assert self.tokens >= -1e-6, "the gateway exceeded its share of the hard limit"
 
 
 class SafetyChecker:
-    """Plays a random history and checks the safety rules at every action of the policy."""
+    """Applies random steps to a policy, and checks the safety rules at each of its actions."""
 
     def __init__(self, seed: int, *, hedging_allowed: bool) -> None:
         endpoints = [create_endpoint(number, cell=number % CELL_COUNT) for number in range(BACKEND_COUNT)]
@@ -177,7 +177,7 @@
         request.is_finished = True
 
     def play(self, step: Step) -> None:
-        """Let one step happen, if it is possible now."""
+        """Apply one step, if it is possible now."""
         match step.kind:
             case StepKind.REQUEST:
                 self._request(CLASS_NAMES[step.choice % 3], 500 + step.amount * 5)
@@ -197,7 +197,7 @@
                 self._disconnect(step.amount)
 
     def pass_time(self, milliseconds: float) -> None:
-        """Let time pass; attempts that are in flight at their request's deadline time out."""
+        """Let time pass; attempts that are still in flight at the deadline of their request time out."""
         for _ in range(int(milliseconds // 50) + 1):
             self.check(self.harness.pass_time(50))
             for attempt in self._attempts_in_flight():
@@ -281,7 +281,7 @@
 
 
 def run_fixed_event_sequence(seed: int) -> list[TimedAction]:
-    """Four hundred requests of all classes with outcomes of many kinds; returns all actions."""
+    """Send 400 requests of all classes with various outcomes, and return all actions."""
     harness = PolicyHarness(seed=seed)
     for number in range(400):
         request_class = CLASS_NAMES[number % 3]
@@ -303,7 +303,7 @@
 
 
 def digest_with_hash_seed(hash_seed: str) -> str:
-    """The digest of a fixed history that is played by a process with that hash seed."""
+    """Return the digest of the actions of the fixed event sequence, run in a process with this hash seed."""
     root = Path(__file__).parents[2]
     process = subprocess.run(
         [sys.executable, "-c", DIGEST_SCRIPT],
