--- a/tests/policy/test_policy_files.py
+++ b/tests/policy/test_policy_files.py
@@ -1,4 +1,4 @@
-"""The files of the policy: the operators' list names each of them, and their lines stay narrow."""
+"""The policy's files: the operators' list names each of them; lines are at most 110 characters long."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def listed_policy_files() -> list[str]:
-    """The files that `deploy/balancer.toml` lists as the policy's."""
+    """Return the files that `deploy/balancer.toml` lists as the policy's."""
     deployment = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
     files: list[str] = deployment["policy"]
     return files
@@ -43,7 +43,7 @@
 def test_the_readme_s_example_runs() -> None:
     example = re.findall(r"```python\n(.*?)```", (ROOT / "README.md").read_text(), re.S)
     assert len(example) == 1
-    space: dict[str, object] = {}
-    exec(example[0], space)
-    assert space["sent"]
-    assert space["served"]
+    namespace: dict[str, object] = {}
+    exec(example[0], namespace)
+    assert namespace["sent"]
+    assert namespace["served"]
