--- a/benchmarks/capacity_slopes/listed_backends.py
+++ b/benchmarks/capacity_slopes/listed_backends.py
@@ -16,7 +16,7 @@
 from gateway.policy.policy import GatewayPolicy
 from gateway.policy.timers import TimerKind, TimerToken
 from scale.fakes.discovery import HEARTBEAT, HEARTBEAT_INTERVAL_S, encode_chunk
-from scale.fakes.endpoint_list import encode_entry, encode_list, listed_backend
+from scale.fakes.endpoint_list import encode_entry, encode_list, make_entry
 
 from .measurement import min_cpu_us, peak_mb, retained_bytes
 from .policies import BACKENDS_PER_CELL, START_MS, make_endpoints, make_settings, snapshot
@@ -98,10 +98,10 @@
 
 def encoded_backend(number: int, health: str = "up") -> bytes:
     """Return the entry of backend `number` as it goes on the wire."""
-    entry = listed_backend(
+    entry = make_entry(
         f"s-{number:08x}",
         f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:6379",
-        rack=number // BACKENDS_PER_CELL,
+        cell=number // BACKENDS_PER_CELL,
         health=health,
         born_ms=int(START_MS) + number,
     )
--- a/scale/control.py
+++ b/scale/control.py
@@ -76,7 +76,7 @@
             stall_ms=self.stall_ms,
         )
         gateway = await supervisor.start("measured", Path(case.program))
-        await environment.begin()
+        await environment.begin_phase()
         customers = CustomerPopulation(
             count=max(self.customers),
             gateways=self.fleet,
--- a/scale/control_bench.py
+++ b/scale/control_bench.py
@@ -81,7 +81,7 @@
 
     async def run_steadily(self, *, change_rate: float, request_rate: float, seconds: float) -> SteadyWork:
         """Announce changes and send requests at even rates, each a second."""
-        await self.environment.begin()
+        await self.environment.begin_phase()
         announced = self.environment.discovery.call_lasting(
             seconds, "announce_evenly", rate=change_rate, seconds=seconds
         )
@@ -98,7 +98,7 @@
 
     async def read(self) -> dict[str, Any]:
         """Return what the fakes counted, and note their timer lag."""
-        return await self.environment.read(self.result, self.phase)
+        return await self.environment.read_counts(self.result, self.phase)
 
     def _gateway_cpu_s(self) -> float:
         times = psutil.Process(self.gateway.pid).cpu_times()
@@ -110,7 +110,7 @@
         return batch_id
 
     async def _begin(self) -> None:
-        await self.environment.begin()
+        await self.environment.begin_phase()
         marker_host = await self.environment.discovery.call("marker_host")
         await self.gateway.call("begin", marker_host=marker_host)
 
--- a/scale/customers.py
+++ b/scale/customers.py
@@ -28,18 +28,18 @@
     """Added to the customers' numbers, to keep them apart from another phase's."""
 
 
-class Customers:
+class CustomerSampler:
     """Picks customers of a population; each is served by a run of consecutive gateways, which wraps round."""
 
     def __init__(self, population: CustomerPopulation) -> None:
         self._population = population
-        self._set_size = min(population.gateways_per_customer, population.gateways)
+        self._gateways_per_customer = min(population.gateways_per_customer, population.gateways)
         self._rng = random.Random(population.seed)
 
     def pick(self, gateway: int) -> PickedCustomer:
         """Pick a customer that `gateway` serves."""
         gateways = self._population.gateways
-        first_gateway = (gateway - self._rng.randrange(self._set_size)) % gateways
+        first_gateway = (gateway - self._rng.randrange(self._gateways_per_customer)) % gateways
         has_one_more = first_gateway < self._population.count % gateways
         candidates = self._population.count // gateways + has_one_more
         number = first_gateway
@@ -47,11 +47,11 @@
             number += gateways * self._rng.randrange(candidates)
         return PickedCustomer(self._population.first_number + number, first_gateway)
 
-    def request(self, gateway: int, request_id: int) -> list[bytes]:
+    def make_command(self, gateway: int, request_id: int) -> list[bytes]:
         """Return a command of one of the customers that `gateway` serves."""
         customer, first_gateway = self.pick(gateway)
         attributes = (
             f"c={REQUEST_CLASS_NAME},t={PLAN_NAME},d={DEADLINE_MS},units=1"
-            f",spread={self._set_size},first={first_gateway}"
+            f",spread={self._gateways_per_customer},first={first_gateway}"
         )
         return [b"API.READ", b"%016x" % customer, b"%016x" % request_id, attributes.encode()]
--- a/scale/environment.py
+++ b/scale/environment.py
@@ -105,14 +105,14 @@
         """Wait until so many gateways watch the endpoint list."""
         await self.discovery.call("wait_for_watches", count=count, timeout_s=START_TIMEOUT_S)
 
-    async def begin(self, *others: WorkerProcess) -> None:
+    async def begin_phase(self, *others: WorkerProcess) -> None:
         """Restart all counts: a measured phase begins."""
         for worker in self._counting_workers(*others):
             await worker.call("begin")
         if self.stall_ms:
             await self.discovery.call("stall", duration_ms=self.stall_ms)
 
-    async def read(self, result: Result, phase: str, *others: WorkerProcess) -> dict[str, Any]:
+    async def read_counts(self, result: Result, phase: str, *others: WorkerProcess) -> dict[str, Any]:
         """Return bytes and calls at discovery and the counter since `begin`; timer lag goes to the result.
 
         Raises:
--- a/scale/fakes/endpoint_list.py
+++ b/scale/fakes/endpoint_list.py
@@ -10,7 +10,7 @@
 
 from scale.gateway_configuration import LOOPBACK, ZONES
 
-BACKENDS_PER_RACK = 40
+BACKENDS_PER_CELL = 40
 """Backends in one failure domain, as in the fleet that the list is modelled on."""
 
 NEXT_HEALTH = {"up": "draining", "draining": "removed", "removed": "up"}
@@ -25,8 +25,8 @@
     hosts: list[str]
 
 
-def listed_backend(  # noqa: PLR0913 - one argument for each key that varies
-    host: str, address: str, *, zone: str = "a", rack: int, health: str = "up", born_ms: int = 0
+def make_entry(  # noqa: PLR0913 - one argument for each key that varies
+    host: str, address: str, *, zone: str = "a", cell: int, health: str = "up", born_ms: int = 0
 ) -> dict[str, Any]:
     """Return one entry of the list in discovery's form; `born_ms` is its start in Unix time."""
     return {
@@ -34,7 +34,7 @@
         "dial": address,
         "site": zone,
         "class": "m2",
-        "block": rack,
+        "block": cell,
         "health": health,
         "share": 1.0,
         "born_ms": born_ms,
@@ -63,11 +63,11 @@
         rng = random.Random(seed)
         self.version = 1
         self.entries = [
-            listed_backend(
+            make_entry(
                 f"s-{number:05d}-{rng.getrandbits(32):08x}",
                 f"{LOOPBACK}:{ports[number % len(ports)]}",
-                zone=ZONES[number // BACKENDS_PER_RACK % len(ZONES)],
-                rack=number // BACKENDS_PER_RACK,
+                zone=ZONES[number // BACKENDS_PER_CELL % len(ZONES)],
+                cell=number // BACKENDS_PER_CELL,
             )
             for number in range(backends)
         ]
--- a/scale/fleet_run.py
+++ b/scale/fleet_run.py
@@ -115,12 +115,12 @@
         }
 
     async def _begin(self) -> None:
-        await self.environment.begin(self.clients)
-        await self.hollow.begin()
+        await self.environment.begin_phase(self.clients)
+        await self.hollow.begin_phase()
 
     async def _read(self) -> FleetCounts:
-        services = await self.environment.read(self.result, "in the fleet", self.clients)
-        return FleetCounts(services, await self.hollow.read())
+        services = await self.environment.read_counts(self.result, "in the fleet", self.clients)
+        return FleetCounts(services, await self.hollow.read_totals())
 
     async def _send_load(self, seconds: float) -> LoadSummary | None:
         """Send requests to the real gateways; None where there are none."""
--- a/scale/hollow_fleet.py
+++ b/scale/hollow_fleet.py
@@ -7,7 +7,7 @@
 import time
 from typing import Any
 
-from .customers import CustomerPopulation, Customers
+from .customers import CustomerPopulation, CustomerSampler
 from .figures import HollowFigures, HollowStartFigures
 from .hollow_gateway import HollowGateway, backend_id_of, freeze_garbage_collector, send_requests
 from .machine import resident_mb
@@ -39,7 +39,7 @@
     async def begin(self) -> None:
         """Measure from here on."""
         for gateway in self._gateways:
-            gateway.begin()
+            gateway.reset()
         self._cpu_at_begin_s = time.process_time()
         self._began_at = time.monotonic()
 
@@ -55,8 +55,8 @@
 
     async def send_requests(self, customers: dict[str, int], rate: float, seconds: float) -> None:
         """Give each gateway `rate` requests a second; `customers` are the fields of `CustomerPopulation`."""
-        picked = Customers(CustomerPopulation(**customers))
-        await send_requests(self._gateways, picked, rate=rate, seconds=seconds)
+        sampler = CustomerSampler(CustomerPopulation(**customers))
+        await send_requests(self._gateways, sampler, rate=rate, seconds=seconds)
 
     async def propagation_delays(
         self, hosts: list[str], announced_at: list[float], wait_s: float
--- a/scale/hollow_gateway.py
+++ b/scale/hollow_gateway.py
@@ -26,10 +26,10 @@
 from gateway.network.timers import TimerQueue
 from gateway.policy.events import Outcome, UpdateKind
 
-from .customers import Customers
+from .customers import CustomerSampler
 from .pacing import due_requests
 
-__all__ = ["HollowGateway", "WatchEvent", "backend_id_of", "freeze_garbage_collector", "send_requests"]
+__all__ = ["AppliedDelta", "HollowGateway", "backend_id_of", "freeze_garbage_collector", "send_requests"]
 
 REQUEST_INTERVAL_S = 0.005
 """Interval between two checks of which requests are due."""
@@ -64,7 +64,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WatchEvent:
+class AppliedDelta:
     """When a change of the list had been applied, in monotonic seconds, and the backends that it changed."""
 
     applied_at: float
@@ -87,13 +87,13 @@
         self._watcher = parts.create_watcher(None, self._on_endpoints)
         self._watch_task: asyncio.Task[None] | None = None
         self._request_ids = itertools.count(1)
-        self.watch_events: list[WatchEvent] = []
+        self.applied_deltas: list[AppliedDelta] = []
         self._applied_at: dict[int, list[float]] = {}  # by backend, of the events that were searched
-        self.begin()
+        self.reset()
 
-    def begin(self) -> None:
+    def reset(self) -> None:
         """Forget what was applied and served so far."""
-        self.watch_events.clear()
+        self.applied_deltas.clear()
         self._applied_at.clear()
         self.sent_requests = 0
         self.served_requests = 0
@@ -107,7 +107,7 @@
         kind, endpoints = args[:2]
         if kind is UpdateKind.DELTA:
             backend_ids = [listed.endpoint.backend_id for listed in endpoints]
-            self.watch_events.append(WatchEvent(time.monotonic(), backend_ids))
+            self.applied_deltas.append(AppliedDelta(time.monotonic(), backend_ids))
         if self._on_update is not None:
             self._on_update()
 
@@ -129,19 +129,19 @@
 
         Both times are in monotonic seconds.
         """
-        self._index_watch_events()
+        self._index_deltas()
         return next((at for at in self._applied_at.get(backend_id, ()) if at >= since), None)
 
-    def _index_watch_events(self) -> None:
+    def _index_deltas(self) -> None:
         """Sort the events that have come since the last search by backend."""
-        for event in self.watch_events:
-            for changed in event.backend_ids:
-                self._applied_at.setdefault(changed, []).append(event.applied_at)
-        self.watch_events.clear()
+        for delta in self.applied_deltas:
+            for changed in delta.backend_ids:
+                self._applied_at.setdefault(changed, []).append(delta.applied_at)
+        self.applied_deltas.clear()
 
-    def send_request(self, customers: Customers) -> None:
+    def send_request(self, customers: CustomerSampler) -> None:
         """Give the policy a request of one of this gateway's customers."""
-        command = self._parser.parse(customers.request(self.index, next(self._request_ids)))
+        command = self._parser.parse(customers.make_command(self.index, next(self._request_ids)))
         self.sent_requests += 1
         self._dispatcher.on_request(command, CountedReply(self))
 
@@ -155,7 +155,7 @@
 
 
 async def send_requests(
-    gateways: list[HollowGateway], customers: Customers, *, rate: float, seconds: float
+    gateways: list[HollowGateway], customers: CustomerSampler, *, rate: float, seconds: float
 ) -> None:
     """Give each gateway `rate` requests a second, evenly, and return after so many seconds."""
     started_at = time.monotonic()
--- a/scale/hollow_processes.py
+++ b/scale/hollow_processes.py
@@ -58,11 +58,11 @@
         grown_mb = sum(process["after_mb"] - process["before_mb"] for process in figures)
         return cls(workers, grown_mb / len(configs))
 
-    async def begin(self) -> None:
+    async def begin_phase(self) -> None:
         """Measure from here on."""
         await self._call_all(0.0, "begin")
 
-    async def read(self) -> HollowTotals:
+    async def read_totals(self) -> HollowTotals:
         """Return what all gateways took since `begin`."""
         return HollowTotals.add_up(await self._call_all(0.0, "read"))
 
--- a/scale/load_generator.py
+++ b/scale/load_generator.py
@@ -7,7 +7,7 @@
 import time
 
 from .client_connections import REQUEST_TIMEOUT_S, GatewayTarget
-from .customers import CustomerPopulation, Customers
+from .customers import CustomerPopulation, CustomerSampler
 from .figures import LatencySummary, LoadSummary
 from .histogram import LagMeter
 from .load_result import LoadRequest, LoadResult
@@ -29,7 +29,7 @@
     async def connect(self, gateways: list[list[int]], customers: dict[str, int]) -> None:
         """Name the gateways, each by its index and port, and the fields of the `CustomerPopulation`."""
         self._targets = [GatewayTarget(index, port) for index, port in gateways]
-        self._customers = Customers(CustomerPopulation(**customers))
+        self._customers = CustomerSampler(CustomerPopulation(**customers))
 
     async def run(self, rate: float, seconds: float) -> LoadSummary:
         """Send `rate` requests a second over all gateways, wait for the replies, and return the summary."""
@@ -44,7 +44,7 @@
     def _send(self, target: GatewayTarget, result: LoadResult) -> None:
         if not result.begin_request():
             return
-        command = encode_command(*self._customers.request(target.index, next(self._request_ids)))
+        command = encode_command(*self._customers.make_command(target.index, next(self._request_ids)))
         target.send(LoadRequest(command, result))
 
     async def _wait_for_replies(self, result: LoadResult) -> None:
--- a/scale/measured_gateway.py
+++ b/scale/measured_gateway.py
@@ -11,7 +11,7 @@
 import time
 from typing import Any
 
-from .customers import CustomerPopulation, Customers
+from .customers import CustomerPopulation, CustomerSampler
 from .event_loop_probe import EventLoopProbe
 from .figures import ControlWork, StartWork, SteadyWork
 from .hollow_gateway import HollowGateway, backend_id_of, freeze_garbage_collector, send_requests
@@ -43,10 +43,10 @@
         else:
             self._cpu_stamps_s.append(time.process_time())
         gateway = self._gateway
-        if gateway is None or not gateway.watch_events:
+        if gateway is None or not gateway.applied_deltas:
             return
         # Only the first and last backend are compared: a search among thousands would be measured too.
-        backend_ids = gateway.watch_events[-1].backend_ids
+        backend_ids = gateway.applied_deltas[-1].backend_ids
         if backend_ids and self._marker_id in (backend_ids[0], backend_ids[-1]):
             self._is_marker_applied = True
 
@@ -55,7 +55,7 @@
 
         `customers` are the fields of `CustomerPopulation`.
         """
-        self._customers = Customers(CustomerPopulation(**customers))
+        self._customers = CustomerSampler(CustomerPopulation(**customers))
         self._probe = EventLoopProbe() if probe_loop else None
         self._gateway = HollowGateway(config, self._on_update)
         await self.begin()
@@ -68,7 +68,7 @@
     async def begin(self, marker_host: str = "") -> None:
         """Measure from here on; `marker_host` is the backend whose change is announced last."""
         assert self._gateway is not None
-        self._gateway.begin()
+        self._gateway.reset()
         self._cpu_stamps_s.clear()
         self._marker_id = backend_id_of(marker_host) if marker_host else NO_MARKER
         self._is_marker_applied = False
@@ -89,7 +89,7 @@
     def _search_marker(self) -> None:
         """Search all events for the marker, once no more events come."""
         assert self._gateway is not None
-        events = self._gateway.watch_events
+        events = self._gateway.applied_deltas
         if self._is_marker_applied or not events or time.monotonic() - events[-1].applied_at <= SETTLE_S:
             return
         self._is_marker_applied = self._gateway.applied_at(self._marker_id, 0.0) is not None
--- a/scale/quickstart.py
+++ b/scale/quickstart.py
@@ -57,9 +57,9 @@
             )
             clients = await self._start_gateways(environment)
             progress.print(f"ready: {self.gateways} gateways, an endpoint list of {self.backends} backends")
-            await environment.begin(clients)
+            await environment.begin_phase(clients)
             requests = await send_load(clients, rate=self.request_rate, seconds=self.seconds)
-            counts = await environment.read(result, "under load", clients)
+            counts = await environment.read_counts(result, "under load", clients)
         result.measured = {"requests": requests, "counter_calls": counts["counter"]["calls"]}
         return result
 
--- a/tests/scale/test_customers.py
+++ b/tests/scale/test_customers.py
@@ -4,13 +4,13 @@
 
 import pytest
 
-from scale.customers import CustomerPopulation, Customers
+from scale.customers import CustomerPopulation, CustomerSampler
 
 
 @pytest.mark.parametrize("gateway", range(10))
 def test_customers_come_to_gateways_of_their_sets_only(gateway: int) -> None:
     population = CustomerPopulation(count=1_000, gateways=10, gateways_per_customer=3, seed=1)
-    customers = Customers(population)
+    customers = CustomerSampler(population)
 
     picked = {customers.pick(gateway) for _ in range(2_000)}
 
