--- a/scale/client_connections.py
+++ b/scale/client_connections.py
@@ -18,7 +18,7 @@
 
     def __init__(self, target: GatewayTarget) -> None:
         self._target = target
-        self._unread = b""
+        self._buffer = b""
         self._transport: asyncio.Transport | None = None
         self.request: LoadRequest | None = None
 
@@ -34,13 +34,13 @@
 
     def data_received(self, data: bytes) -> None:
         """Record the reply once it is complete, and become idle."""
-        self._unread += data
-        reply = parse_reply(self._unread)
+        self._buffer += data
+        reply = parse_reply(self._buffer)
         if reply is None or self.request is None:
             return
         request = self.request
         self.request = None
-        self._unread = b""
+        self._buffer = b""
         self._target.idle_connections.append(self)
         request.end(reply)
 
@@ -49,7 +49,7 @@
         request = self.request
         self.request = None
         self._transport = None
-        self._target.on_connection_lost(self, request, reply_begun=bool(self._unread))
+        self._target.on_connection_lost(self, request, reply_begun=bool(self._buffer))
 
     def expire_request(self, sent_before: float) -> None:
         """Fail the open request and abort the connection, if the request was sent before a time."""
--- a/scale/customers.py
+++ b/scale/customers.py
@@ -41,10 +41,10 @@
         gateways = self._population.gateways
         first_gateway = (gateway - self._rng.randrange(self._gateways_per_customer)) % gateways
         has_one_more = first_gateway < self._population.count % gateways
-        candidates = self._population.count // gateways + has_one_more
+        candidate_count = self._population.count // gateways + has_one_more
         number = first_gateway
-        if candidates:
-            number += gateways * self._rng.randrange(candidates)
+        if candidate_count:
+            number += gateways * self._rng.randrange(candidate_count)
         return PickedCustomer(self._population.first_number + number, first_gateway)
 
     def make_command(self, gateway: int, request_id: int) -> list[bytes]:
--- a/scale/environment.py
+++ b/scale/environment.py
@@ -105,21 +105,21 @@
         """Wait until so many gateways watch the endpoint list."""
         await self.discovery.call("wait_for_watches", count=count, timeout_s=START_TIMEOUT_S)
 
-    async def begin_phase(self, *others: WorkerProcess) -> None:
+    async def begin_phase(self, *extra_workers: WorkerProcess) -> None:
         """Restart all counts: a measured phase begins."""
-        for worker in self._counting_workers(*others):
+        for worker in self._counting_workers(*extra_workers):
             await worker.call("begin")
         if self.stall_ms:
             await self.discovery.call("stall", duration_ms=self.stall_ms)
 
-    async def read_counts(self, result: Result, phase: str, *others: WorkerProcess) -> dict[str, Any]:
+    async def read_counts(self, result: Result, phase: str, *extra_workers: WorkerProcess) -> dict[str, Any]:
         """Return bytes and calls at discovery and the counter since `begin`; timer lag goes to the result.
 
         Raises:
             RunError: a real gateway has exited meanwhile.
         """
         counts: dict[str, Any] = {}
-        for worker in self._counting_workers(*others):
+        for worker in self._counting_workers(*extra_workers):
             figures = await worker.call("read")
             lag = figures.pop("lag")
             service = next(iter(figures), "clients")
@@ -129,8 +129,8 @@
             await self.launcher.call("check")
         return counts
 
-    def _counting_workers(self, *others: WorkerProcess) -> list[WorkerProcess]:
-        workers = (self.discovery, self.counter, self.backends, *others)
+    def _counting_workers(self, *extra_workers: WorkerProcess) -> list[WorkerProcess]:
+        workers = (self.discovery, self.counter, self.backends, *extra_workers)
         return [worker for worker in workers if worker is not None]
 
 
--- a/scale/fakes/counter.py
+++ b/scale/fakes/counter.py
@@ -50,11 +50,11 @@
     def __init__(self, counter: FakeCounter) -> None:
         super().__init__(counter)
         self._counter = counter
-        self._unread = b""
+        self._buffer = b""
 
     def process_input(self, data: bytes) -> None:
         """Respond to all complete lines, in one write."""
-        *lines, self._unread = (self._unread + data).split(b"\r\n")
+        *lines, self._buffer = (self._buffer + data).split(b"\r\n")
         if responses := [self._counter.respond(line) for line in lines]:
             self.write(b"".join(responses))
 
--- a/scale/fakes/discovery.py
+++ b/scale/fakes/discovery.py
@@ -35,16 +35,16 @@
     def __init__(self, discovery: FakeDiscovery) -> None:
         super().__init__(discovery)
         self._discovery = discovery
-        self._unread = b""
+        self._buffer = b""
 
     def process_input(self, data: bytes) -> None:
         """Respond to the request once its head is complete."""
-        self._unread += data
-        if b"\r\n\r\n" in self._unread:
-            target = self._unread.split(b" ", 2)[1]
-            self._unread = b""
+        self._buffer += data
+        if b"\r\n\r\n" in self._buffer:
+            target = self._buffer.split(b" ", 2)[1]
+            self._buffer = b""
             self._discovery.on_request(self, target)
-        elif len(self._unread) > MAX_HEAD_BYTES and self.transport is not None:
+        elif len(self._buffer) > MAX_HEAD_BYTES and self.transport is not None:
             self.transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
--- a/scale/fakes/service.py
+++ b/scale/fakes/service.py
@@ -31,7 +31,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Count the bytes and process them."""
-        self._service.note_received(len(data))
+        self._service.count_received(len(data))
         self.process_input(data)
 
     def process_input(self, data: bytes) -> None:
@@ -41,7 +41,7 @@
     def write(self, data: bytes) -> None:
         """Send bytes, unless the peer has gone."""
         if self.transport is not None and not self.transport.is_closing():
-            self._service.note_sent(len(data))
+            self._service.count_sent(len(data))
             self.transport.write(data)
 
 
@@ -62,11 +62,11 @@
             self._servers.append(server)
         return [server.sockets[0].getsockname()[1] for server in self._servers]
 
-    def note_sent(self, size: int) -> None:
+    def count_sent(self, size: int) -> None:
         """Count bytes that were sent."""
         self._bytes_sent += size
 
-    def note_received(self, size: int) -> None:
+    def count_received(self, size: int) -> None:
         """Count bytes that were received."""
         self._bytes_received += size
 
--- a/scale/fakes/worker.py
+++ b/scale/fakes/worker.py
@@ -46,8 +46,8 @@
 
     async def start_backends(self, ports: int, latency_ms: float) -> list[int]:
         """Start backends on `ports` free ports; return their numbers."""
-        self._services["backends"], numbers = await start_backends(ports, latency_ms)
-        return numbers
+        self._services["backends"], bound_ports = await start_backends(ports, latency_ms)
+        return bound_ports
 
     async def wait_for_watches(self, count: int) -> None:
         """Wait until so many gateways watch the list."""
--- a/scale/fleet_report.py
+++ b/scale/fleet_report.py
@@ -13,7 +13,12 @@
 
 def print_result(console: Console, result: Result) -> None:
     """Print how soon changes were applied, what clients noticed, and what a gateway took."""
-    tables = (propagation_table(result), request_table(result), work_table(result), counter_table(result))
+    tables = (
+        propagation_table(result),
+        request_table(result),
+        control_work_table(result),
+        counter_table(result),
+    )
     print_run(console, result, *tables)
 
 
@@ -58,7 +63,7 @@
     return make_table("Requests to the real gateways, and the latency that these add, ms", columns, rows)
 
 
-def work_table(result: Result) -> Table:
+def control_work_table(result: Result) -> Table:
     """Return what control work took."""
     keys = ("cpu_ms_per_s", "state_mb", "rss_mb", "discovery_bytes_per_s")
     columns = [
--- a/scale/fleet_run.py
+++ b/scale/fleet_run.py
@@ -95,10 +95,10 @@
         propagation: dict[str, PropagationSummary] = {}
         requests: dict[str, LoadSummary | None] = {}
         progress.print("idle")
-        idle = await self._run_steadily(0.0)
+        idle = await self._run_steady_phase(0.0)
         requests["idle"] = idle.requests
         progress.print(f"{options.change_rate:g} changes a second")
-        changing = await self._run_steadily(options.change_rate)
+        changing = await self._run_steady_phase(options.change_rate)
         requests[STEADY_CHANGES] = changing.requests
         propagation[STEADY_CHANGES] = await self._measure_propagation(changing.announcements)
         for size in dict.fromkeys(min(size, options.backends - 1) for size in options.burst_sizes):
@@ -114,11 +114,11 @@
             "counter": await self._measure_counter_calls(),
         }
 
-    async def _begin(self) -> None:
+    async def _begin_phase(self) -> None:
         await self.environment.begin_phase(self.clients)
         await self.hollow.begin_phase()
 
-    async def _read(self) -> FleetCounts:
+    async def _read_counts(self) -> FleetCounts:
         services = await self.environment.read_counts(self.result, "in the fleet", self.clients)
         return FleetCounts(services, await self.hollow.read_totals())
 
@@ -128,15 +128,15 @@
             return None
         return await send_load(self.clients, rate=self.options.real_request_rate, seconds=seconds)
 
-    async def _run_steadily(self, change_rate: float) -> SteadyPhaseOutcome:
+    async def _run_steady_phase(self, change_rate: float) -> SteadyPhaseOutcome:
         """Announce changes at an even rate under load."""
         seconds = self.options.phase_s
-        await self._begin()
-        announced = self.environment.discovery.call_lasting(
+        await self._begin_phase()
+        announce_call = self.environment.discovery.call_lasting(
             seconds, "announce_evenly", rate=change_rate, seconds=seconds
         )
-        announcements, requests = await asyncio.gather(announced, self._send_load(seconds))
-        counts = await self._read()
+        announcements, requests = await asyncio.gather(announce_call, self._send_load(seconds))
+        counts = await self._read_counts()
         hollow_gateways = self.options.hollow_gateways
         discovery_bytes = counts.services["discovery"]["sent"]
         per_gateway = {
@@ -151,13 +151,13 @@
         """Announce a burst in one watch event under load."""
         discovery = self.environment.discovery
         batch_id = await discovery.call("prepare", counts=[size])
-        await self._begin()
+        await self._begin_phase()
         load_task = asyncio.create_task(self._send_load(self.options.burst_window_s))
         await asyncio.sleep(BURST_DELAY_S)
         announcement = await discovery.call("announce", batch_id=batch_id)
         propagation = await self._measure_propagation([announcement])
         requests = await load_task
-        await self._read()
+        await self._read_counts()
         return propagation, requests
 
     async def _measure_propagation(self, announcements: Sequence[Announcement]) -> PropagationSummary:
@@ -185,15 +185,15 @@
                 first_number=(len(measured) + 1) * CUSTOMER_NUMBER_STEP,
             )
             phase = f"{count:,}, {gateways_per_customer} gateways each"
-            measured[phase] = await self._count_calls(customers)
+            measured[phase] = await self._run_counter_phase(customers)
         return measured
 
-    async def _count_calls(self, customers: CustomerPopulation) -> dict[str, Any]:
+    async def _run_counter_phase(self, customers: CustomerPopulation) -> dict[str, Any]:
         """Send requests of some customers to all hollow gateways; return what the counter got."""
         seconds = self.options.phase_s
-        await self._begin()
+        await self._begin_phase()
         await self.hollow.send_requests(customers, rate=self.options.hollow_request_rate, seconds=seconds)
-        counts = await self._read()
+        counts = await self._read_counts()
         sent = counts.hollow.sent
         hollow_gateways = self.options.hollow_gateways
         counter = counts.services["counter"]
--- a/scale/gateway_configuration.py
+++ b/scale/gateway_configuration.py
@@ -48,7 +48,7 @@
 
 SAFETY_RULES = {"warmWithin": 10_000.0, "startCapacity": 0.2, "drainGrace": 1_000.0, "fallMultiple": 2.0}
 
-COUNTER = {"mayCount": True, "countWait": 100.0, "unitsTop": 1}
+COUNTER_OPTIONS = {"mayCount": True, "countWait": 100.0, "unitsTop": 1}
 
 
 def settings_document(index: int, gateways: int, **changes: Any) -> dict[str, Any]:
@@ -60,7 +60,7 @@
         "caps": CAPABILITIES,
         "classes": [REQUEST_CLASS],
         "packages": [PLAN],
-        "familyInfo": COUNTER,
+        "familyInfo": COUNTER_OPTIONS,
         "rules": SAFETY_RULES,
     }
     return document | changes
--- a/scale/gateway_launcher.py
+++ b/scale/gateway_launcher.py
@@ -18,7 +18,7 @@
 START_TIMEOUT_S = 60.0
 """How long a gateway may take until it listens."""
 
-LISTENING = re.compile(r"serves at [\d.]+:(\d+)")
+LISTENING_LINE = re.compile(r"serves at [\d.]+:(\d+)")
 """The log line of a gateway that listens, with its port."""
 
 
@@ -30,14 +30,14 @@
         self._process = process
         self._port: asyncio.Future[int] = asyncio.get_running_loop().create_future()
         self._last_log_line = "(it logged nothing)"
-        self._log_task = asyncio.create_task(self._follow_log())
+        self._log_task = asyncio.create_task(self._read_log())
 
-    async def _follow_log(self) -> None:
+    async def _read_log(self) -> None:
         """Read the log until the process exits, and take the port from it."""
         assert self._process.stderr is not None
         async for line in self._process.stderr:
             self._last_log_line = line.decode(errors="replace").rstrip()
-            match = LISTENING.search(self._last_log_line)
+            match = LISTENING_LINE.search(self._last_log_line)
             if match and not self._port.done():
                 self._port.set_result(int(match[1]))
         if not self._port.done():
--- a/scale/hollow_gateway.py
+++ b/scale/hollow_gateway.py
@@ -35,7 +35,7 @@
 """Interval between two checks of which requests are due."""
 
 
-class ServingBackendPool(BackendPool):
+class InstantBackendPool(BackendPool):
     """The program's pool, on which each attempt succeeds at once."""
 
     def start(self, attempt: BackendAttempt) -> None:
@@ -57,7 +57,7 @@
         if not self.is_completed:
             self.is_completed = True
             if reply.startswith(b"$"):
-                self._gateway.note_served()
+                self._gateway.count_served()
 
     def detect_disconnect(self) -> None:
         """Do nothing: there is no client that could disconnect."""
@@ -80,7 +80,7 @@
         parts = PartFactory(config, TimerQueue(asyncio.get_running_loop()))
         self.index = config.settings.gateway_index
         self._on_update = on_update
-        self._backends = parts.create_backend_pool(ServingBackendPool)
+        self._backends = parts.create_backend_pool(InstantBackendPool)
         self._counter = parts.create_counter_client()
         self._dispatcher = parts.create_dispatcher(self._backends, self._counter)
         self._parser = RequestParser(config.settings)
@@ -88,17 +88,19 @@
         self._watch_task: asyncio.Task[None] | None = None
         self._request_ids = itertools.count(1)
         self.applied_deltas: list[AppliedDelta] = []
-        self._applied_at: dict[int, list[float]] = {}  # by backend, of the events that were searched
+        self._applied_at_by_backend: dict[
+            int, list[float]
+        ] = {}  # by backend, of the events that were searched
         self.reset()
 
     def reset(self) -> None:
         """Forget what was applied and served so far."""
         self.applied_deltas.clear()
-        self._applied_at.clear()
+        self._applied_at_by_backend.clear()
         self.sent_requests = 0
         self.served_requests = 0
 
-    def note_served(self) -> None:
+    def count_served(self) -> None:
         """Count a request as served."""
         self.served_requests += 1
 
@@ -118,9 +120,9 @@
     async def wait_for_snapshot(self) -> None:
         """Wait until a complete snapshot has been read; raises what ended the watch, if that ended."""
         assert self._watch_task is not None
-        snapshot = asyncio.get_running_loop().create_task(self._watcher.snapshot_received.wait())
-        await asyncio.wait({snapshot, self._watch_task}, return_when=asyncio.FIRST_COMPLETED)
-        snapshot.cancel()
+        snapshot_task = asyncio.get_running_loop().create_task(self._watcher.snapshot_received.wait())
+        await asyncio.wait({snapshot_task, self._watch_task}, return_when=asyncio.FIRST_COMPLETED)
+        snapshot_task.cancel()
         if self._watch_task.done():
             self._watch_task.result()
 
@@ -130,13 +132,13 @@
         Both times are in monotonic seconds.
         """
         self._index_deltas()
-        return next((at for at in self._applied_at.get(backend_id, ()) if at >= since), None)
+        return next((at for at in self._applied_at_by_backend.get(backend_id, ()) if at >= since), None)
 
     def _index_deltas(self) -> None:
         """Sort the events that have come since the last search by backend."""
         for delta in self.applied_deltas:
-            for changed in delta.backend_ids:
-                self._applied_at.setdefault(changed, []).append(delta.applied_at)
+            for backend_id in delta.backend_ids:
+                self._applied_at_by_backend.setdefault(backend_id, []).append(delta.applied_at)
         self.applied_deltas.clear()
 
     def send_request(self, customers: CustomerSampler) -> None:
--- a/scale/hollow_processes.py
+++ b/scale/hollow_processes.py
@@ -48,15 +48,19 @@
         cls, supervisor: Supervisor, program: str, configs: Sequence[dict[str, Any]], *, processes: int
     ) -> HollowProcesses:
         """Start a hollow gateway of a checkout for each configuration, spread over so many processes."""
-        by_process = [configs[place::processes] for place in range(min(processes, len(configs)))]
-        workers = [await supervisor.start("hollow", Path(program)) for _ in by_process]
+        configs_by_process = [configs[offset::processes] for offset in range(min(processes, len(configs)))]
+        workers = [await supervisor.start("hollow", Path(program)) for _ in configs_by_process]
         starts = (
-            worker.call("start", configs=part, timeout_s=START_TIMEOUT_S + len(part) * CALL_TIMEOUT_S)
-            for worker, part in zip(workers, by_process, strict=True)
+            worker.call(
+                "start",
+                configs=process_configs,
+                timeout_s=START_TIMEOUT_S + len(process_configs) * CALL_TIMEOUT_S,
+            )
+            for worker, process_configs in zip(workers, configs_by_process, strict=True)
         )
         figures: list[HollowStartFigures] = await asyncio.gather(*starts)
-        grown_mb = sum(process["after_mb"] - process["before_mb"] for process in figures)
-        return cls(workers, grown_mb / len(configs))
+        growth_mb = sum(process["after_mb"] - process["before_mb"] for process in figures)
+        return cls(workers, growth_mb / len(configs))
 
     async def begin_phase(self) -> None:
         """Measure from here on."""
@@ -77,15 +81,16 @@
 
         `propagation.NOT_APPLIED` stands for a change that was not applied within `timeout_s`.
         """
-        by_process: list[list[list[float]]] = await self._call_all(
+        delays_by_process: list[list[list[float]]] = await self._call_all(
             timeout_s,
             "propagation_delays",
             hosts=[change.host for change in changes],
-            announced_at=[change.at for change in changes],
+            announced_at=[change.announced_at for change in changes],
             wait_s=timeout_s,
         )
         return [
-            [delay_ms for delays in by_process for delay_ms in delays[place]] for place in range(len(changes))
+            [delay_ms for delays in delays_by_process for delay_ms in delays[index]]
+            for index in range(len(changes))
         ]
 
     async def _call_all(self, duration_s: float, method: str, **arguments: Any) -> list[Any]:
--- a/scale/load_result.py
+++ b/scale/load_result.py
@@ -8,7 +8,7 @@
 from .figures import LoadSummary
 from .histogram import LatencyHistogram
 
-MAX_OPEN_REQUESTS = 5_000
+MAX_IN_FLIGHT_REQUESTS = 5_000
 """Requests in flight at once; those beyond are counted as unsent."""
 
 
@@ -27,7 +27,7 @@
 
     def begin_request(self) -> bool:
         """Count a request as sent; False, and counted as unsent, where too many are in flight."""
-        if self.in_flight >= MAX_OPEN_REQUESTS:
+        if self.in_flight >= MAX_IN_FLIGHT_REQUESTS:
             self.unsent += 1
             return False
         self.sent += 1
--- a/scale/propagation.py
+++ b/scale/propagation.py
@@ -19,7 +19,7 @@
     """A change of one backend, and when it was announced, in seconds of the monotonic clock."""
 
     host: str
-    at: float
+    announced_at: float
 
 
 class PropagationSummary(TypedDict):
--- a/scale/resp.py
+++ b/scale/resp.py
@@ -20,16 +20,16 @@
     """Splits a stream of bytes into commands."""
 
     def __init__(self) -> None:
-        self._unread = b""
+        self._buffer = b""
 
     def feed(self, data: bytes) -> list[list[bytes]]:
         """Return the commands that are complete with these bytes."""
-        self._unread += data
+        self._buffer += data
         commands = []
-        while (parsed := parse_command(self._unread)) is not None:
+        while (parsed := parse_command(self._buffer)) is not None:
             command, end = parsed
             commands.append(command)
-            self._unread = self._unread[end:]
+            self._buffer = self._buffer[end:]
         return commands
 
 
--- a/scale/supervisor.py
+++ b/scale/supervisor.py
@@ -147,7 +147,7 @@
         return self
 
     async def __aexit__(
-        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+        self, exc_type: type[BaseException] | None, exc: BaseException | None, traceback: TracebackType | None
     ) -> None:
         """Stop all workers."""
         await asyncio.gather(*(worker.stop() for worker in self._workers), return_exceptions=True)
