--- a/scale/client_connections.py
+++ b/scale/client_connections.py
@@ -1,4 +1,4 @@
-"""The clients' connections to a real gateway, with one request on each at a time."""
+"""The clients' connections to a real gateway, each with at most one request in flight."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from .resp import parse_reply
 
 REQUEST_TIMEOUT_S = DEADLINE_MS / 1000 + 0.5
-"""How long a client waits: the deadline, within which a gateway responds, and time for the network."""
+"""Time-out of a request: the deadline, within which a gateway responds, plus time for the network."""
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection to a gateway, with one request on it at a time."""
+    """A connection to a gateway, with at most one request in flight."""
 
     def __init__(self, target: GatewayTarget) -> None:
         self._target = target
@@ -23,8 +23,8 @@
         self.request: LoadRequest | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
+        """Store the transport."""
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's class does not derive from it
 
     def send(self, request: LoadRequest) -> None:
         """Send a request on this idle connection."""
@@ -33,7 +33,7 @@
         self._transport.write(request.command)
 
     def data_received(self, data: bytes) -> None:
-        """Record the reply once it is complete, and become idle."""
+        """Once the reply is complete, record it and mark the connection as idle."""
         self._buffer += data
         reply = parse_reply(self._buffer)
         if reply is None or self.request is None:
@@ -45,14 +45,17 @@
         request.end(reply)
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - the protocol's signature
-        """Hand the open request back to the target."""
+        """Pass the request in flight, if there is one, back to the target."""
         request = self.request
         self.request = None
         self._transport = None
         self._target.on_connection_lost(self, request, reply_begun=bool(self._buffer))
 
     def expire_request(self, sent_before: float) -> None:
-        """Fail the open request and abort the connection, if the request was sent before a time."""
+        """Fail the request in flight and abort the connection, if the request was sent before a time.
+
+        `sent_before` is in monotonic seconds.
+        """
         request = self.request
         if request is None or request.sent_at >= sent_before:
             return
@@ -67,7 +70,7 @@
 
 
 class GatewayTarget:
-    """One gateway as its clients see it: its address and their connections."""
+    """The address of one gateway, and the clients' connections to it."""
 
     def __init__(self, index: int, port: int) -> None:
         self.index = index
@@ -91,7 +94,7 @@
         try:
             async with asyncio.timeout(REQUEST_TIMEOUT_S):
                 await loop.create_connection(lambda: connection, LOOPBACK, self._port)
-        except OSError:  # time-outs are among these
+        except OSError:  # also a TimeoutError
             request.end(None)
             return
         self._connections.add(connection)
@@ -100,7 +103,10 @@
     def on_connection_lost(
         self, connection: ClientConnection, request: LoadRequest | None, *, reply_begun: bool
     ) -> None:
-        """Retry the request once, unless its reply had begun: a gateway may close an idle connection."""
+        """Remove the connection; retry its request once, unless a part of the reply had arrived.
+
+        The retry is there because a gateway may close an idle connection.
+        """
         self._connections.discard(connection)
         if connection in self.idle_connections:
             self.idle_connections.remove(connection)
@@ -113,7 +119,7 @@
         self.send(request)
 
     def expire_requests(self, sent_before: float) -> None:
-        """Fail requests that were sent before a time and have no reply yet."""
+        """Fail the requests in flight that were sent before `sent_before`, in monotonic seconds."""
         for connection in list(self._connections):
             connection.expire_request(sent_before)
 
--- a/scale/customers.py
+++ b/scale/customers.py
@@ -1,4 +1,4 @@
-"""The customers of a fleet, and the requests they send."""
+"""The customers of a fleet, and the requests that they send."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class PickedCustomer(NamedTuple):
-    """A customer's number, and the first gateway of its gateway set."""
+    """A customer's number, and the index of the first gateway that serves it."""
 
     number: int
     first_gateway: int
@@ -18,18 +18,21 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CustomerPopulation:
-    """How many customers a fleet has, and how they are spread over its gateways."""
+    """The number of a fleet's customers, and how they are spread over its gateways."""
 
     count: int
     gateways: int
     gateways_per_customer: int
     seed: int
     first_number: int = 0
-    """Added to the customers' numbers, to keep them apart from another phase's."""
+    """Offset of the customer numbers, so that two phases can have distinct customers."""
 
 
 class CustomerSampler:
-    """Picks customers of a population; each is served by a run of consecutive gateways, which wraps round."""
+    """Picks random customers of a population, and makes their commands.
+
+    Each customer is served by gateways with consecutive indexes, modulo the number of gateways.
+    """
 
     def __init__(self, population: CustomerPopulation) -> None:
         self._population = population
@@ -37,7 +40,7 @@
         self._rng = random.Random(population.seed)
 
     def pick(self, gateway: int) -> PickedCustomer:
-        """Pick a customer that `gateway` serves."""
+        """Pick a random customer that `gateway` serves."""
         gateways = self._population.gateways
         first_gateway = (gateway - self._rng.randrange(self._gateways_per_customer)) % gateways
         has_one_more = first_gateway < self._population.count % gateways
@@ -48,7 +51,7 @@
         return PickedCustomer(self._population.first_number + number, first_gateway)
 
     def make_command(self, gateway: int, request_id: int) -> list[bytes]:
-        """Return a command of one of the customers that `gateway` serves."""
+        """Return the arguments of a command of a random customer that `gateway` serves."""
         customer, first_gateway = self.pick(gateway)
         attributes = (
             f"c={REQUEST_CLASS_NAME},t={PLAN_NAME},d={DEADLINE_MS},units=1"
--- a/scale/environment.py
+++ b/scale/environment.py
@@ -1,4 +1,4 @@
-"""The environment that all scenarios start alike: fake services, real gateways and their clients."""
+"""The environment that all scenarios share: fake services, real gateways and their clients."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 from .supervisor import Supervisor, WorkerProcess
 
 MAX_BACKEND_PORTS = 16
-"""Ports of the fake backends; each serves many listed ones."""
+"""Maximum number of ports of the fake backends; each port serves many listed backends."""
 
 BACKEND_LATENCY_MS = 5.0
-"""How long the fake backends take for a request."""
+"""Milliseconds that a fake backend takes for a request."""
 
 CLOSED_PORT = 1
 """A port that nothing listens on."""
 
 START_TIMEOUT_S = 120.0
-"""How long all gateways together may take to start."""
+"""Seconds that all gateways together may take to start."""
 
 
 @dataclass(kw_only=True)
 class Environment:
-    """The fake services of a run, each a process; ports are on the loopback address."""
+    """The fake services of a run, each in its own process; ports are on the loopback address."""
 
     supervisor: Supervisor
     discovery: WorkerProcess
@@ -38,10 +38,10 @@
     counter_port: int
     seed: int
     stall_ms: float
-    """How long the fake discovery is stalled in each measured phase."""
+    """Milliseconds that the fake discovery is stalled in each measured phase."""
 
     launcher: WorkerProcess | None = None
-    """Owner of the real gateways, None where there are none."""
+    """Worker that starts the real gateways; None without real gateways."""
 
     @classmethod
     async def start(
@@ -53,9 +53,9 @@
         with_backends: bool = True,
         stall_ms: float = 0.0,
     ) -> Environment:
-        """Start discovery with a list of so many backends, the counter, and the fake backends.
+        """Start discovery with a list of `backends` backends, the counter, and the fake backends.
 
-        Without backends nothing listens at the addresses of the list.
+        If `with_backends` is false, nothing listens at the addresses of the list.
         """
         discovery = await supervisor.start("fakes")
         counter = await supervisor.start("fakes")
@@ -73,7 +73,7 @@
         )
 
     def config(self, index: int, gateways: int) -> dict[str, Any]:
-        """Return the configuration of gateway `index` of a fleet of `gateways`."""
+        """Return the configuration of gateway `index` in a fleet of `gateways`."""
         return gateway_config(
             index,
             gateways,
@@ -85,7 +85,7 @@
     async def launch_gateways(
         self, program: str, configs: Sequence[dict[str, Any]]
     ) -> list[LaunchedGatewayFigures]:
-        """Start a real gateway of a checkout for each configuration."""
+        """Start a real gateway of the checkout `program` for each configuration."""
         self.launcher = await self.supervisor.start("launcher")
         launched: list[LaunchedGatewayFigures] = await self.launcher.call(
             "start", checkout=str(Path(program)), configs=configs, timeout_s=START_TIMEOUT_S
@@ -95,28 +95,28 @@
     async def start_clients(
         self, ports: Sequence[int], customers: CustomerPopulation, *, first_gateway: int = 0
     ) -> WorkerProcess:
-        """Start the clients of the real gateways, which have consecutive indexes from `first_gateway` on."""
+        """Start the clients of the real gateways, whose indexes are consecutive from `first_gateway` on."""
         clients = await self.supervisor.start("clients")
         gateways = list(enumerate(ports, start=first_gateway))
         await clients.call("connect", gateways=gateways, customers=customers)
         return clients
 
     async def wait_for_watches(self, count: int) -> None:
-        """Wait until so many gateways watch the endpoint list."""
+        """Wait until `count` gateways watch the endpoint list."""
         await self.discovery.call("wait_for_watches", count=count, timeout_s=START_TIMEOUT_S)
 
     async def begin_phase(self, *extra_workers: WorkerProcess) -> None:
-        """Restart all counts: a measured phase begins."""
+        """Begin a measured phase: reset the counts of all workers, and stall discovery for `stall_ms`."""
         for worker in self._counting_workers(*extra_workers):
             await worker.call("begin")
         if self.stall_ms:
             await self.discovery.call("stall", duration_ms=self.stall_ms)
 
     async def read_counts(self, result: Result, phase: str, *extra_workers: WorkerProcess) -> dict[str, Any]:
-        """Return bytes and calls at discovery and the counter since `begin`; timer lag goes to the result.
+        """Return bytes and calls at the fake services since `begin_phase`; add their timer lag to `result`.
 
         Raises:
-            RunError: a real gateway has exited meanwhile.
+            RunError: a real gateway has exited.
         """
         counts: dict[str, Any] = {}
         for worker in self._counting_workers(*extra_workers):
@@ -135,13 +135,13 @@
 
 
 async def start_backends(worker: WorkerProcess, backends: int) -> list[int]:
-    """Start the fake backends of a list of so many; return their ports."""
+    """Start the fake backends for a list of `backends` backends; return their ports."""
     port_count = min(MAX_BACKEND_PORTS, backends)
     ports: list[int] = await worker.call("start_backends", ports=port_count, latency_ms=BACKEND_LATENCY_MS)
     return ports
 
 
 async def send_load(clients: WorkerProcess, *, rate: float, seconds: float) -> LoadSummary:
-    """Let the clients send `rate` requests a second over all real gateways; return what became of them."""
+    """Let the clients send `rate` requests a second over all real gateways; return the summary."""
     summary: LoadSummary = await clients.call_lasting(seconds, "run", rate=rate, seconds=seconds)
     return summary
--- a/scale/fakes/__init__.py
+++ b/scale/fakes/__init__.py
@@ -1,1 +1,1 @@
-"""Fakes of what surrounds a gateway: discovery, the counter and the backends, on loopback ports."""
+"""Fakes of the services around a gateway: discovery, the counter and the backends, on loopback ports."""
--- a/scale/fakes/backends.py
+++ b/scale/fakes/backends.py
@@ -1,4 +1,4 @@
-"""Fake backends: respond to each request after a latency, with the time that it really took."""
+"""Fake backends, which reply to each request after a latency, with the time that it actually took."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from .service import FakeService, ServiceConnection
 
 SERVICE_COMMANDS = (b"API.READ", b"API.WRITE")
-"""Commands that take the latency; the response to any other is immediate."""
+"""Commands that are answered after the latency; others are answered at once."""
 
 
 class BackendServerConnection(ServiceConnection):
-    """A gateway's connection to a backend."""
+    """A gateway's connection to a fake backend."""
 
     def __init__(self, backends: FakeBackends) -> None:
         super().__init__(backends)
@@ -30,7 +30,7 @@
 
 
 class FakeBackends(FakeService):
-    """Many backends in one process; each responds with the microseconds that the request took."""
+    """Many fake backends in one process; a reply holds the microseconds that its request took."""
 
     def __init__(self, latency_ms: float) -> None:
         super().__init__()
@@ -38,7 +38,7 @@
         self._loop = asyncio.get_running_loop()
 
     def serve(self, connection: ServiceConnection, command: list[bytes], arrived_at: float) -> None:
-        """Respond to a command, now or after the latency."""
+        """Reply to a command, at once or after the latency."""
         if command[0] in SERVICE_COMMANDS:
             self._loop.call_later(self._latency_s, partial(self._reply, connection, arrived_at))
         else:
@@ -50,6 +50,6 @@
 
 
 async def start_backends(ports: int, latency_ms: float) -> tuple[FakeBackends, list[int]]:
-    """Start backends on so many ports; return them and the ports."""
+    """Start fake backends on `ports` free ports; return them and the port numbers."""
     backends = FakeBackends(latency_ms)
     return backends, await backends.listen(partial(BackendServerConnection, backends), ports)
--- a/scale/fakes/counter.py
+++ b/scale/fakes/counter.py
@@ -1,4 +1,4 @@
-"""A fake counter service: totals by name, each until it expires."""
+"""A fake counter service, which keeps totals by name until they expire."""
 
 from __future__ import annotations
 
@@ -10,28 +10,28 @@
 from .service import FakeService, ServiceConnection
 
 EXPIRY_INTERVAL_S = 5.0
-"""Interval between two searches for totals that have expired."""
+"""Seconds between two searches for expired totals."""
 
 MAX_LIFETIME_MS = 60_000.0
-"""Longest lifetime of a total, whatever a call requests."""
+"""Maximum lifetime of a total, in milliseconds; a longer one in a call is cut to this."""
 
 
 @dataclass(slots=True)
 class Total:
-    """A total and when it expires, in seconds."""
+    """A total, and when it expires in monotonic seconds."""
 
     expires_at: float
     value: float = 0.0
 
 
 class CounterTotals:
-    """The totals themselves, apart from sockets and clocks."""
+    """The totals by name, independent of sockets and clocks."""
 
     def __init__(self) -> None:
         self._totals: dict[str, Total] = {}
 
     def increment(self, name: str, amount: float, lifetime_ms: float, now: float) -> float:
-        """Add to a total and return it; its lifetime runs from its first increment. `now` is in seconds."""
+        """Add to a total and return it; its lifetime begins with its first increment. `now` is in seconds."""
         total = self._totals.get(name)
         if total is None or total.expires_at < now:
             total = self._totals[name] = Total(now + min(MAX_LIFETIME_MS, lifetime_ms) / 1000)
@@ -39,13 +39,13 @@
         return total.value
 
     def remove_expired(self, now: float) -> None:
-        """Remove the totals that have expired by `now`."""
+        """Remove the totals that have expired at `now`, in seconds."""
         for name in [name for name, total in self._totals.items() if total.expires_at < now]:
             del self._totals[name]
 
 
 class CounterConnection(ServiceConnection):
-    """A connection to the counter: calls as lines of text."""
+    """A connection to the counter, on which each call is a line of text."""
 
     def __init__(self, counter: FakeCounter) -> None:
         super().__init__(counter)
@@ -60,7 +60,7 @@
 
 
 class FakeCounter(FakeService):
-    """Serves totals, and counts the increments."""
+    """Serves totals to gateways, and counts the increments."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -69,7 +69,7 @@
         self._expiry_task = asyncio.get_running_loop().create_task(self._remove_expired())
 
     def begin(self) -> None:
-        """Restart all counts."""
+        """Reset all counts."""
         super().begin()
         self._calls = 0
 
@@ -78,7 +78,7 @@
         return {**super().counts(), "calls": self._calls}
 
     def respond(self, line: bytes) -> bytes:
-        """Return the response to one line."""
+        """Return the response to a line."""
         if line == b"ping":
             return b"pong\r\n"
         try:
@@ -99,13 +99,13 @@
             self._totals.remove_expired(time.monotonic())
 
     def close(self) -> None:
-        """Stop the expiry and abort all connections."""
+        """Stop the removal of expired totals, stop listening and abort all connections."""
         self._expiry_task.cancel()
         super().close()
 
 
 async def start_counter() -> tuple[FakeCounter, int]:
-    """Start the counter; return it and its port."""
+    """Start a fake counter; return it and its port."""
     counter = FakeCounter()
     (port,) = await counter.listen(partial(CounterConnection, counter))
     return counter, port
--- a/scale/fakes/discovery.py
+++ b/scale/fakes/discovery.py
@@ -1,4 +1,4 @@
-"""A fake discovery service: serves the endpoint list and pushes its changes to watches."""
+"""A fake discovery service, which serves the endpoint list and sends its changes to watches."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 from .service import FakeService, ServiceConnection
 
 LIST_PATH = b"/catalog/members"
-"""Path of the endpoint list, and with `stream=1` of a watch."""
+"""Path of the endpoint list; with the parameter `stream=1` it opens a watch."""
 
 HEARTBEAT_INTERVAL_S = 2.0
-"""Interval between the empty lines that show that a watch is alive."""
+"""Seconds between two heartbeats, the empty lines that show that a watch is alive."""
 
 HEARTBEAT = b"1\r\n\n\r\n"
-"""An empty line as a chunk."""
+"""An empty line in HTTP's chunked transfer coding."""
 
 CHANGE_HISTORY_LENGTH = 20_000
-"""Changes that a new watch can catch up with; one that missed more gets a snapshot."""
+"""Watch events that are kept for new watches; a watch that has missed more gets a snapshot."""
 
 MAX_HEAD_BYTES = 64 * 1024
-"""Longest HTTP request head, in bytes."""
+"""Maximum size of the head of an HTTP request, in bytes."""
 
 
 class DiscoveryConnection(ServiceConnection):
-    """A connection to discovery: one call for the list, or one watch."""
+    """A connection to discovery, which reads the list or opens a watch."""
 
     def __init__(self, discovery: FakeDiscovery) -> None:
         super().__init__(discovery)
@@ -48,18 +48,18 @@
             self.transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the watch, if it is one."""
+        """Remove the watch, if the connection has one."""
         self._discovery.close_watch(self)
         super().connection_lost(exc)
 
 
 class FakeDiscovery(FakeService):
-    """Serves a synthetic endpoint list."""
+    """Serves a synthetic endpoint list, and announces its changes to watches."""
 
     def __init__(self, endpoints: SyntheticEndpointList) -> None:
         super().__init__()
         self.endpoints = endpoints
-        self.watches: dict[DiscoveryConnection, None] = {}  # in the order in which they were opened
+        self.watches: dict[DiscoveryConnection, None] = {}  # in the order of opening
         self._announced: deque[Change] = deque(maxlen=CHANGE_HISTORY_LENGTH)
         self._prepared: dict[int, list[Change]] = {}
         self._batch_ids = itertools.count()
@@ -83,7 +83,7 @@
         connection.write(body)
 
     def close_watch(self, connection: DiscoveryConnection) -> None:
-        """Forget a connection's watch, if it has one."""
+        """Remove the watch of a connection, if it has one."""
         self.watches.pop(connection, None)
 
     def _open_watch(self, connection: DiscoveryConnection, known_version: int) -> None:
@@ -108,9 +108,9 @@
                 watch.write(HEARTBEAT)
 
     def prepare(self, counts: list[int], *, with_marker: bool = False) -> int:
-        """Create one watch event for each count, of so many changes; return the batch id for `announce`.
+        """Create a batch with a watch event of `count` changes for each count; return its id for `announce`.
 
-        With a marker, one more event changes the backend that changes at no other time.
+        With a marker, the batch ends with an event that changes a backend that no other event changes.
         """
         batch_id = next(self._batch_ids)
         changes = [self.endpoints.change(count) for count in counts]
@@ -120,7 +120,7 @@
         return batch_id
 
     def announce(self, batch_id: int) -> Announcement:
-        """Send a prepared batch to all watches, at once."""
+        """Send a prepared batch to all watches, in one write to each."""
         changes = self._prepared.pop(batch_id)
         chunks = b"".join(encode_chunk(change.line) for change in changes)
         self._announced.extend(changes)
@@ -130,7 +130,7 @@
         return {"at": announced_at, "hosts": [host for change in changes for host in change.hosts]}
 
     async def announce_evenly(self, rate: float, seconds: float) -> list[Announcement]:
-        """Announce `rate` changes a second, each in a watch event of its own, for so many seconds."""
+        """Announce `rate` changes a second for `seconds` seconds, each in its own watch event."""
         started_at = time.monotonic()
         announcements = []
         for number in range(int(rate * seconds)):
@@ -140,7 +140,7 @@
         return announcements
 
     def close(self) -> None:
-        """Stop the heartbeats and abort all connections."""
+        """Stop the heartbeats, stop listening and abort all connections."""
         self._heartbeat_task.cancel()
         super().close()
 
@@ -155,12 +155,12 @@
 
 
 def encode_chunk(line: bytes) -> bytes:
-    """Return a line as a chunk of HTTP's chunked transfer coding."""
+    """Return a line, with a newline, as a chunk of HTTP's chunked transfer coding."""
     return b"%x\r\n%b\n\r\n" % (len(line) + 1, line)
 
 
 async def start_discovery(backends: int, ports: list[int], seed: int) -> tuple[FakeDiscovery, int]:
-    """Start discovery with a list of so many backends; return it and its port."""
+    """Start a fake discovery with a list of `backends` backends; return it and its port."""
     discovery = FakeDiscovery(SyntheticEndpointList(backends, ports, seed))
     discovery.endpoints.snapshot()
     (port,) = await discovery.listen(partial(DiscoveryConnection, discovery))
--- a/scale/fakes/endpoint_list.py
+++ b/scale/fakes/endpoint_list.py
@@ -1,4 +1,4 @@
-"""A synthetic endpoint list, in the form of discovery's entries, and its changes."""
+"""A synthetic endpoint list in discovery's format, and its changes."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from scale.gateway_configuration import LOOPBACK, ZONES
 
 BACKENDS_PER_CELL = 40
-"""Backends in one failure domain, as in the fleet that the list is modelled on."""
+"""Number of backends in a cell, as in the fleet that the list is modelled on."""
 
 NEXT_HEALTH = {"up": "draining", "draining": "removed", "removed": "up"}
-"""The life cycle of a backend: what its health becomes at its next change."""
+"""The life cycle of a backend: maps a health to the health after the next change."""
 
 
 class Change(NamedTuple):
-    """One watch event: its version, its JSON line, and the hosts that it changes."""
+    """A watch event: the version of the list after it, its JSON line, and the hosts that it changes."""
 
     version: int
     line: bytes
@@ -28,7 +28,7 @@
 def make_entry(  # noqa: PLR0913 - one argument for each key that varies
     host: str, address: str, *, zone: str = "a", cell: int, health: str = "up", born_ms: int = 0
 ) -> dict[str, Any]:
-    """Return one entry of the list in discovery's form; `born_ms` is its start in Unix time."""
+    """Return a list entry in discovery's format; `born_ms` is the backend's start in Unix milliseconds."""
     return {
         "host": host,
         "dial": address,
@@ -42,12 +42,12 @@
 
 
 def encode_entry(entry: dict[str, Any]) -> bytes:
-    """Return an entry as compact JSON."""
+    """Return a list entry as compact JSON."""
     return json.dumps(entry, separators=(",", ":")).encode()
 
 
 def encode_list(version: int, entries: Iterable[bytes], *, is_snapshot: bool) -> bytes:
-    """Return the JSON object of a complete snapshot, or of a delta, from encoded entries."""
+    """Return the JSON object of a snapshot or a delta with these encoded entries."""
     is_complete = b"true" if is_snapshot else b"false"
     return b'{"seq":%d,"whole":%b,"hosts":[%b]}' % (version, is_complete, b",".join(entries))
 
@@ -55,11 +55,11 @@
 class SyntheticEndpointList:
     """A list of backends that changes on demand.
 
-    Entries are cached as they go on the wire, because a list is sent many times.
+    Entries are cached in their encoded form, because a list is sent many times.
     """
 
     def __init__(self, backends: int, ports: Sequence[int], seed: int) -> None:
-        """`ports` are those of the fake backends, which serve the listed ones in equal parts."""
+        """`ports` are those of the fake backends; each port serves an equal part of the listed backends."""
         rng = random.Random(seed)
         self.version = 1
         self.entries = [
@@ -72,7 +72,7 @@
             for number in range(backends)
         ]
         self._encoded_entries = [encode_entry(entry) for entry in self.entries]
-        self._change_order = list(range(backends))  # each changes once before any changes a second time
+        self._change_order = list(range(backends))  # each backend changes once before any changes again
         rng.shuffle(self._change_order)
         self._marker = self._change_order.pop() if backends > 1 else 0
         self._change_count = 0
@@ -80,11 +80,11 @@
 
     @property
     def marker_host(self) -> str:
-        """The backend that only a marker changes."""
+        """Host of the backend that only `change_marker` changes."""
         return str(self.entries[self._marker]["host"])
 
     def snapshot(self) -> bytes:
-        """Return the complete list as one JSON line."""
+        """Return the complete list as one line of JSON, without removed backends."""
         if not self._snapshot:
             listed = (
                 text
@@ -97,7 +97,7 @@
     def change(self, count: int) -> Change:
         """Change the next `count` backends, each to the next state of its life cycle.
 
-        They are distinct, so at most all but the marker change.
+        They are distinct, so one call changes at most all backends but the marker.
         """
         count = min(count, len(self._change_order))
         positions = range(self._change_count, self._change_count + count)
@@ -105,7 +105,7 @@
         return self._apply([self._change_order[position % len(self._change_order)] for position in positions])
 
     def change_marker(self) -> Change:
-        """Change the marker's backend."""
+        """Change the marker, to the next state of its life cycle."""
         return self._apply([self._marker])
 
     def _apply(self, numbers: list[int]) -> Change:
--- a/scale/fakes/service.py
+++ b/scale/fakes/service.py
@@ -1,4 +1,4 @@
-"""What all fake services share: listening sockets, open connections and counts of bytes."""
+"""Base classes of the fake services: listening sockets, open connections and counts of bytes."""
 
 from __future__ import annotations
 
@@ -9,44 +9,44 @@
 from scale.gateway_configuration import LOOPBACK
 
 LISTEN_BACKLOG = 4096
-"""Connections that may wait to be accepted: all gateways of a fleet start at once."""
+"""Connections that may wait to be accepted; large, because all gateways of a fleet start at once."""
 
 
 class ServiceConnection(asyncio.Protocol):
-    """One connection to a fake service, which counts its bytes."""
+    """A connection to a fake service, which counts the connection's bytes."""
 
     def __init__(self, service: FakeService) -> None:
         self._service = service
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Register with the service."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
+        """Register the connection with the service."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's class does not derive from it
         self._service.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - the protocol's signature
-        """Unregister from the service."""
+        """Remove the connection from the service."""
         self.transport = None
         self._service.connections.discard(self)
 
     def data_received(self, data: bytes) -> None:
-        """Count the bytes and process them."""
+        """Count the received bytes and process them."""
         self._service.count_received(len(data))
         self.process_input(data)
 
     def process_input(self, data: bytes) -> None:
-        """Respond to what has arrived."""
+        """Process received bytes, and respond to complete requests."""
         raise NotImplementedError
 
     def write(self, data: bytes) -> None:
-        """Send bytes, unless the peer has gone."""
+        """Count and send bytes, unless the connection is closed."""
         if self.transport is not None and not self.transport.is_closing():
             self._service.count_sent(len(data))
             self.transport.write(data)
 
 
 class FakeService:
-    """A service that listens on free ports of the loopback address."""
+    """A fake service, which listens on free ports of the loopback address."""
 
     def __init__(self) -> None:
         self.connections: set[ServiceConnection] = set()
@@ -55,7 +55,7 @@
         self._servers: list[asyncio.Server] = []
 
     async def listen(self, connect: Callable[[], ServiceConnection], ports: int = 1) -> list[int]:
-        """Listen on so many free ports, and return them."""
+        """Listen on `ports` free ports, and return their numbers."""
         loop = asyncio.get_running_loop()
         for _ in range(ports):
             server = await loop.create_server(connect, LOOPBACK, 0, backlog=LISTEN_BACKLOG)
@@ -71,11 +71,11 @@
         self._bytes_received += size
 
     def counts(self) -> dict[str, int]:
-        """Return the bytes since `begin`."""
+        """Return the bytes that were sent and received since `begin`."""
         return {"sent": self._bytes_sent, "received": self._bytes_received}
 
     def begin(self) -> None:
-        """Restart all counts: a measured phase begins."""
+        """Begin a measured phase: reset all counts."""
         self._bytes_sent = 0
         self._bytes_received = 0
 
--- a/scale/fleet.py
+++ b/scale/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet scenario: how soon many gateways apply changes, what each takes, and what clients notice."""
+"""Fleet scenario: change propagation over many gateways, the cost of each gateway, and client requests."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from .supervisor import Supervisor
 
 MAX_PROPAGATION_MS = 1_000.0
-"""Goal: until the slowest gateway has applied a change."""
+"""Goal: milliseconds until the slowest gateway has applied a change."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class FleetScenario(FleetOptions):
-    """The scenario: the fleet of each checkout, one after another."""
+    """The fleet scenario and its options; it measures each checkout."""
 
     async def run(self, progress: Console) -> Result:
         """Measure the fleet of each checkout, one after another.
@@ -40,7 +40,7 @@
 
 
 def propagation_goal(measured: dict[str, Any]) -> Goal:
-    """Return the goal for the slowest gateway, over all phases of one checkout."""
+    """Return the goal for the propagation to the slowest gateway, over all phases of one checkout."""
     return Goal(
         name="change applied by the slowest gateway",
         unit="ms",
--- a/scale/fleet_options.py
+++ b/scale/fleet_options.py
@@ -1,4 +1,4 @@
-"""The options of a fleet run, and what it needs of the machine."""
+"""Options of a fleet run, and the check that the machine has enough resources for them."""
 
 from __future__ import annotations
 
@@ -11,50 +11,50 @@
 
 @dataclass(frozen=True, kw_only=True)
 class FleetOptions(RunOptions):
-    """The options of a fleet run. Rates are per second; customers are those of the whole fleet."""
+    """Options of a fleet run. Rates are per second; customers are those of the whole fleet."""
 
     hollow_gateways: int
     hollow_processes: int
-    """Processes that hold the hollow gateways."""
+    """Number of processes that the hollow gateways are spread over."""
 
     real_gateways: int
-    """Real gateways, each in a process of its own."""
+    """Number of real gateways, each in its own process."""
 
     fleet: int
-    """Gateways of the whole fleet, those that are not started included."""
+    """Number of gateways in the whole fleet, including those that the run doesn't start."""
 
     backends: int
-    """Backends in the endpoint list."""
+    """Number of backends in the endpoint list."""
 
     change_rate: float
     phase_s: float
-    """Length of each phase but the bursts."""
+    """Duration of each phase other than the bursts, in seconds."""
 
     burst_sizes: tuple[int, ...]
     burst_window_s: float
-    """How long the clients send requests around each burst."""
+    """Duration of the load around each burst, in seconds."""
 
     change_timeout_s: float
-    """How long a change may take to be applied by all hollow gateways."""
+    """Time-out for a change to be applied by all hollow gateways, in seconds."""
 
     customers: tuple[int, ...]
     gateways_per_customer: tuple[int, ...]
     hollow_request_rate: float
-    """Requests of each hollow gateway."""
+    """Requests per second of each hollow gateway."""
 
     real_request_rate: float
-    """Requests of all real gateways together."""
+    """Requests per second of all real gateways together."""
 
     @property
     def started_gateways(self) -> int:
-        """Gateways that the run starts."""
+        """Number of gateways that the run starts."""
         return self.hollow_gateways + self.real_gateways
 
     def check(self) -> None:
-        """Check that this machine can carry these sizes, and that the fleet is large enough.
+        """Check that this machine has the resources for the run, and that the fleet is large enough.
 
         Raises:
-            UsageError: it cannot, or the fleet is not.
+            UsageError: the machine lacks resources, or the run starts more gateways than the fleet has.
         """
         machine.check_fleet_size(self.started_gateways, self.fleet)
         processes = self.hollow_processes + self.real_gateways
@@ -70,7 +70,7 @@
         )
 
     def _served_customers(self) -> float:
-        """Return an upper estimate of the customers that one gateway meets in all phases."""
+        """Return an upper estimate of the customers that one gateway serves in all phases together."""
         return sum(
             machine.served_customers(
                 count,
--- a/scale/fleet_report.py
+++ b/scale/fleet_report.py
@@ -1,4 +1,4 @@
-"""The tables of a fleet run."""
+"""Tables of the results of a fleet run."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def print_result(console: Console, result: Result) -> None:
-    """Print how soon changes were applied, what clients noticed, and what a gateway took."""
+    """Print the tables of change propagation, client requests, control work and counter calls."""
     tables = (
         propagation_table(result),
         request_table(result),
@@ -23,7 +23,7 @@
 
 
 def labelled_phases(result: Result, section: str) -> list[tuple[str, dict[str, Any]]]:
-    """Return the phases of one section of the figures, of all checkouts, each with its label."""
+    """Return the name and the figures of each phase in a section; names include the label of the checkout."""
     return [
         (name + result.label(program), phase)
         for program, measured in result.measured.items()
@@ -33,12 +33,12 @@
 
 
 def phase_rows(result: Result, section: str, keys: tuple[str, ...]) -> list[list[object]]:
-    """Return a row for each phase of a section, with the figures of those keys."""
+    """Return a table row for each phase in a section: its name and the figures under `keys`."""
     return [[name, *(phase[key] for key in keys)] for name, phase in labelled_phases(result, section)]
 
 
 def propagation_table(result: Result) -> Table:
-    """Return how soon hollow gateways applied changes."""
+    """Return the table of the propagation delays to the hollow gateways."""
     percentiles = ("p50_ms", "p99_ms", "max_ms")
     rows = [
         [name, phase["changes"], *(format_summary(phase[key]) for key in percentiles), phase["missing"]]
@@ -50,7 +50,7 @@
 
 
 def request_table(result: Result) -> Table:
-    """Return what clients of real gateways noticed."""
+    """Return the table of the clients' requests to the real gateways."""
     rows = [
         [
             name,
@@ -64,7 +64,7 @@
 
 
 def control_work_table(result: Result) -> Table:
-    """Return what control work took."""
+    """Return the table of the resources that a hollow gateway's control work takes."""
     keys = ("cpu_ms_per_s", "state_mb", "rss_mb", "discovery_bytes_per_s")
     columns = [
         "phase",
@@ -77,7 +77,7 @@
 
 
 def counter_table(result: Result) -> Table:
-    """Return what the counter got."""
+    """Return the table of the hollow gateways' counter calls."""
     keys = ("requests", "served", "calls_per_request", "counter_bytes_per_s", "cpu_ms_per_s", "rss_mb")
     columns = [
         "customers",
--- a/scale/fleet_run.py
+++ b/scale/fleet_run.py
@@ -1,4 +1,4 @@
-"""One checkout's fleet, from its start to its figures."""
+"""Starts the fleet of one checkout and measures it phase by phase."""
 
 from __future__ import annotations
 
@@ -21,24 +21,24 @@
 from .supervisor import Supervisor, WorkerProcess
 
 BURST_DELAY_S = 0.1
-"""From the first request of a burst's window to the burst."""
+"""Seconds between the start of the load around a burst and the announcement of the burst."""
 
 CUSTOMER_NUMBER_STEP = 10_000_000
-"""Distance between the customer numbers of two phases: no customer is known from an earlier phase."""
+"""Offset between the customer numbers of successive phases, to keep their customers distinct."""
 
 STEADY_CHANGES = "steady changes"
-"""What tables and the JSON call the phase with changes at an even rate."""
+"""Name, in tables and in the JSON result, of the phase with changes at an even rate."""
 
 
 class FleetCounts(NamedTuple):
-    """What the fakes counted in a phase, and what the hollow gateways took."""
+    """Counts of the fake services in a phase, and the totals of the hollow gateways."""
 
     services: dict[str, Any]
     hollow: HollowTotals
 
 
 class SteadyPhaseOutcome(NamedTuple):
-    """What a steady phase gave: the announced changes, the clients' figures and a hollow gateway's."""
+    """Results of a steady phase: announced changes, the clients' summary and the figures per gateway."""
 
     announcements: list[Announcement]
     requests: LoadSummary | None
@@ -47,7 +47,7 @@
 
 @dataclass(kw_only=True)
 class FleetRun:
-    """The processes of a fleet that is ready, and the phases that they are measured in."""
+    """Runs the measured phases on the processes of a started fleet."""
 
     options: FleetOptions
     result: Result
@@ -60,7 +60,7 @@
     async def start(
         cls, options: FleetOptions, supervisor: Supervisor, *, program: str, result: Result
     ) -> FleetRun:
-        """Start fake services, hollow gateways, real ones and their clients."""
+        """Start the fake services, the hollow gateways, the real gateways and the clients."""
         environment = await Environment.start(
             supervisor, backends=options.backends, seed=options.seed, stall_ms=options.stall_ms
         )
@@ -90,7 +90,7 @@
         )
 
     async def measure(self, progress: Console) -> dict[str, Any]:
-        """Return the figures of all phases, as they go into the JSON of the run."""
+        """Run all phases and return their figures in the form of the JSON result."""
         options = self.options
         propagation: dict[str, PropagationSummary] = {}
         requests: dict[str, LoadSummary | None] = {}
@@ -123,13 +123,13 @@
         return FleetCounts(services, await self.hollow.read_totals())
 
     async def _send_load(self, seconds: float) -> LoadSummary | None:
-        """Send requests to the real gateways; None where there are none."""
+        """Send requests to the real gateways and return their summary, or None without real gateways."""
         if not self.real_pids:
             return None
         return await send_load(self.clients, rate=self.options.real_request_rate, seconds=seconds)
 
     async def _run_steady_phase(self, change_rate: float) -> SteadyPhaseOutcome:
-        """Announce changes at an even rate under load."""
+        """Run a phase under load in which changes are announced at an even rate."""
         seconds = self.options.phase_s
         await self._begin_phase()
         announce_call = self.environment.discovery.call_lasting(
@@ -148,7 +148,7 @@
         return SteadyPhaseOutcome(announcements, requests, per_gateway)
 
     async def _run_burst(self, size: int) -> tuple[PropagationSummary, LoadSummary | None]:
-        """Announce a burst in one watch event under load."""
+        """Run a phase under load in which one watch event announces `size` changes."""
         discovery = self.environment.discovery
         batch_id = await discovery.call("prepare", counts=[size])
         await self._begin_phase()
@@ -161,7 +161,7 @@
         return propagation, requests
 
     async def _measure_propagation(self, announcements: Sequence[Announcement]) -> PropagationSummary:
-        """Wait until the changes are applied, and return how long the hollow gateways took."""
+        """Wait until the hollow gateways have applied the changes, and return a summary of the delays."""
         timeout_s = self.options.change_timeout_s
         changes = announced_changes(announcements)
         sample = sample_changes(changes)
@@ -173,7 +173,7 @@
         )
 
     async def _measure_counter_calls(self) -> dict[str, dict[str, Any]]:
-        """Measure the counter calls of each number of customers and size of their gateway sets."""
+        """Measure the counter calls for each combination of customers and gateways per customer."""
         options = self.options
         measured: dict[str, dict[str, Any]] = {}
         for count, gateways_per_customer in product(options.customers, options.gateways_per_customer):
@@ -189,7 +189,7 @@
         return measured
 
     async def _run_counter_phase(self, customers: CustomerPopulation) -> dict[str, Any]:
-        """Send requests of some customers to all hollow gateways; return what the counter got."""
+        """Send requests of `customers` to all hollow gateways; return the counter calls and their cost."""
         seconds = self.options.phase_s
         await self._begin_phase()
         await self.hollow.send_requests(customers, rate=self.options.hollow_request_rate, seconds=seconds)
@@ -211,7 +211,7 @@
 
 
 def client_population(options: FleetOptions) -> CustomerPopulation:
-    """Return the customers whose clients call the real gateways."""
+    """Return the customers whose requests the clients send to the real gateways."""
     return CustomerPopulation(
         count=max(options.customers),
         gateways=options.fleet,
--- a/scale/gateway_configuration.py
+++ b/scale/gateway_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration that the gateways of a run get, in the form of the program's configuration file."""
+"""The configuration of a run's gateways, in the format of the gateway's configuration file."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 from typing import Any
 
 LOOPBACK = "127.0.0.1"
-"""All sockets of a run are on this address."""
+"""Address of all sockets of a run."""
 
 ZONES = ("a", "b", "c")
-"""Zones that backends and gateways are spread over."""
+"""Zones that the backends and the gateways are spread over."""
 
 DEADLINE_MS = 2_500
-"""How long a client waits for its response."""
+"""Milliseconds that a client waits for its response."""
 
 REQUEST_CLASS_NAME = "lookup"
 PLAN_NAME = "team"
 
 GATEWAY_MEMORY_MB = 192
 GATEWAY_SOCKETS = 1024
-"""File descriptors of a gateway."""
+"""File descriptors that a gateway may use."""
 
 REQUEST_CLASS = {
     "name": REQUEST_CLASS_NAME,
@@ -28,12 +28,12 @@
     "effect": "pure",
     "importance": 1.0,
 }
-"""The request class of all requests: idempotent."""
+"""The request class of all requests; they are idempotent."""
 
 PLAN = {"name": PLAN_NAME, "rate": 5.0, "mostAtOnce": 10.0, "overrunCost": 1.0}
 """The plan of all customers.
 
-Its burst is leased where a customer is spread over six gateways or fewer, and shared over more.
+The burst is leased if at most six gateways serve a customer, and shared if more do.
 """
 
 CAPABILITIES = {
@@ -52,7 +52,7 @@
 
 
 def settings_document(index: int, gateways: int, **changes: Any) -> dict[str, Any]:
-    """Return the settings of gateway `index` in a fleet of `gateways`; `changes` replace top-level keys."""
+    """Return the settings document of gateway `index` of `gateways`; `changes` replace top-level keys."""
     document: dict[str, Any] = {
         "az": ZONES[index % len(ZONES)],
         "groupSize": gateways,
@@ -69,7 +69,7 @@
 def gateway_config(
     index: int, gateways: int, *, discovery_port: int, counter_port: int, seed: int
 ) -> dict[str, Any]:
-    """Return the configuration of gateway `index`, which listens on a free port."""
+    """Return the configuration of gateway `index` of `gateways`, which listens on a free port."""
     return {
         "name": f"n{index}",
         "listen": f"{LOOPBACK}:0",
--- a/scale/gateway_launcher.py
+++ b/scale/gateway_launcher.py
@@ -1,4 +1,4 @@
-"""The worker role that owns the real gateways of a run, each started as `run` of the deploy file does."""
+"""Worker role that starts the real gateways of a run, each as the deployment file's `run` command does."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 from .figures import LaunchedGatewayFigures
 
 START_TIMEOUT_S = 60.0
-"""How long a gateway may take until it listens."""
+"""Seconds that a gateway may take until it listens."""
 
 LISTENING_LINE = re.compile(r"serves at [\d.]+:(\d+)")
-"""The log line of a gateway that listens, with its port."""
+"""Matches the log line of a gateway that listens, and captures its port."""
 
 
 class LaunchedGateway:
-    """A gateway process and its log."""
+    """A gateway process; its port is read from its log."""
 
     def __init__(self, name: str, process: asyncio.subprocess.Process) -> None:
         self._name = name
@@ -33,7 +33,7 @@
         self._log_task = asyncio.create_task(self._read_log())
 
     async def _read_log(self) -> None:
-        """Read the log until the process exits, and take the port from it."""
+        """Read the log until the process exits, and set the port once a line names it."""
         assert self._process.stderr is not None
         async for line in self._process.stderr:
             self._last_log_line = line.decode(errors="replace").rstrip()
@@ -48,7 +48,7 @@
         """Wait until the gateway listens.
 
         Raises:
-            RunError: it exited first, or does not listen within `START_TIMEOUT_S`.
+            RunError: the process exited first, or does not listen within `START_TIMEOUT_S`.
         """
         try:
             async with asyncio.timeout(START_TIMEOUT_S):
@@ -65,7 +65,7 @@
         """Check that the process still runs.
 
         Raises:
-            RunError: it has exited.
+            RunError: the process has exited.
         """
         exit_code = self._process.returncode
         if exit_code is not None:
@@ -74,23 +74,23 @@
             )
 
     def kill(self) -> None:
-        """Kill the process."""
+        """Kill the process if it still runs."""
         with contextlib.suppress(ProcessLookupError):
             self._process.kill()
 
 
 class GatewayLauncher:
-    """The real gateways of a run; they are killed when the role ends."""
+    """Starts the real gateways of a run, and kills them when the role ends."""
 
     def __init__(self) -> None:
         self._folder = tempfile.TemporaryDirectory(prefix="scale-")
         self._gateways: list[LaunchedGateway] = []
 
     async def start(self, checkout: str, configs: list[dict[str, Any]]) -> list[LaunchedGatewayFigures]:
-        """Start a gateway of a checkout for each configuration.
+        """Start a gateway of the checkout for each configuration; return their process ids and ports.
 
         Raises:
-            RunError: a gateway exited before it listened.
+            RunError: a gateway exited before it listened, or does not listen within `START_TIMEOUT_S`.
         """
         return list(await asyncio.gather(*(self._start(checkout, config) for config in configs)))
 
@@ -115,13 +115,13 @@
         """Check that all gateways still run.
 
         Raises:
-            RunError: one has exited.
+            RunError: a gateway has exited.
         """
         for gateway in self._gateways:
             gateway.check()
 
     def close(self) -> None:
-        """Kill all gateways."""
+        """Kill all gateways and remove their configuration files."""
         for gateway in self._gateways:
             gateway.kill()
         self._folder.cleanup()
--- a/scale/hollow_fleet.py
+++ b/scale/hollow_fleet.py
@@ -1,4 +1,4 @@
-"""The worker role that holds many hollow gateways."""
+"""Worker role that runs many hollow gateways."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from .propagation import NOT_APPLIED
 
 POLL_INTERVAL_S = 0.05
-"""Interval between two checks of whether changes are applied."""
+"""Seconds between two checks for whether changes are applied."""
 
 
 class HollowFleet:
-    """The hollow gateways of one process."""
+    """Runs the hollow gateways of one worker process."""
 
     def __init__(self) -> None:
         self._gateways: list[HollowGateway] = []
@@ -26,7 +26,7 @@
         self._began_at = 0.0
 
     async def start(self, configs: list[dict[str, Any]]) -> HollowStartFigures:
-        """Start a gateway for each configuration, one after another."""
+        """Start a gateway for each configuration, one after another; return the memory before and after."""
         before_mb = resident_mb()
         for config in configs:
             gateway = HollowGateway(config)
@@ -37,14 +37,14 @@
         return {"before_mb": before_mb, "after_mb": resident_mb()}
 
     async def begin(self) -> None:
-        """Measure from here on."""
+        """Begin a measured phase: reset the counts and the times."""
         for gateway in self._gateways:
             gateway.reset()
         self._cpu_at_begin_s = time.process_time()
         self._began_at = time.monotonic()
 
     async def read(self) -> HollowFigures:
-        """Return what all gateways took since `begin`."""
+        """Return the processor time and the requests since `begin`, and the memory of the process."""
         return {
             "cpu_s": time.process_time() - self._cpu_at_begin_s,
             "seconds": time.monotonic() - self._began_at,
@@ -54,20 +54,23 @@
         }
 
     async def send_requests(self, customers: dict[str, int], rate: float, seconds: float) -> None:
-        """Give each gateway `rate` requests a second; `customers` are the fields of `CustomerPopulation`."""
+        """Give each gateway `rate` requests a second for `seconds` seconds.
+
+        `customers` holds the fields of a `CustomerPopulation`.
+        """
         sampler = CustomerSampler(CustomerPopulation(**customers))
         await send_requests(self._gateways, sampler, rate=rate, seconds=seconds)
 
     async def propagation_delays(
         self, hosts: list[str], announced_at: list[float], wait_s: float
     ) -> list[list[float]]:
-        """Return for each change the milliseconds until it was applied, by gateway.
+        """Return, for each change and gateway, the milliseconds until the gateway applied the change.
 
-        `NOT_APPLIED` stands for one that was not applied within `wait_s`.
+        `NOT_APPLIED` stands for a change that the gateway did not apply within `wait_s`.
         """
         deadline = time.monotonic() + wait_s
         changes = [(backend_id_of(host), at) for host, at in zip(hosts, announced_at, strict=True)]
-        # Only the last change is polled for: a search for each would take time that is measured.
+        # Only the last change is polled: looking up each change would take time that is measured.
         while changes and time.monotonic() < deadline and not self._is_applied(*changes[-1]):
             await asyncio.sleep(POLL_INTERVAL_S)
         return [[self._delay_ms(gateway, *change) for gateway in self._gateways] for change in changes]
@@ -83,5 +86,5 @@
     def close(self) -> None:
         """Close all gateways."""
         for gateway in self._gateways:
-            with contextlib.suppress(Exception):  # the process exits anyway
+            with contextlib.suppress(Exception):  # errors don't matter: the process exits next
                 gateway.close()
--- a/scale/hollow_gateway.py
+++ b/scale/hollow_gateway.py
@@ -1,9 +1,11 @@
-"""A hollow gateway: the program's own control parts, joined as the program joins them, without clients.
+"""A hollow gateway: the control components of a gateway, wired as the gateway wires them, without clients.
 
-It watches the endpoint list, holds its state and refreshes leases over the counter. Requests reach the policy
-as commands, and each attempt succeeds at once, so the counter gets the calls that it would get in service.
+It watches the endpoint list, holds a gateway's control state and refreshes leases at the counter. Requests
+reach the dispatcher as parsed commands, and each attempt succeeds at once, so the counter gets the calls that
+it would get in production.
 
-This is the only module that imports the program: only worker processes that measure one may import it.
+This is the only module that imports the gateway package, so only worker processes that measure a checkout may
+import it.
 """
 
 from __future__ import annotations
@@ -32,11 +34,11 @@
 __all__ = ["AppliedDelta", "HollowGateway", "backend_id_of", "freeze_garbage_collector", "send_requests"]
 
 REQUEST_INTERVAL_S = 0.005
-"""Interval between two checks of which requests are due."""
+"""Seconds between two checks for requests that are due."""
 
 
 class InstantBackendPool(BackendPool):
-    """The program's pool, on which each attempt succeeds at once."""
+    """A backend pool on which each attempt succeeds at once."""
 
     def start(self, attempt: BackendAttempt) -> None:
         """End the attempt as successful."""
@@ -53,7 +55,7 @@
         self._gateway = gateway
 
     def complete(self, reply: bytes) -> None:
-        """Count the request, if it was served."""
+        """Mark the reply as complete, and count the request if it was served."""
         if not self.is_completed:
             self.is_completed = True
             if reply.startswith(b"$"):
@@ -65,17 +67,17 @@
 
 @dataclass(frozen=True, slots=True)
 class AppliedDelta:
-    """When a change of the list had been applied, in monotonic seconds, and the backends that it changed."""
+    """When a part of a delta had been applied, in monotonic seconds, and the backends that it changed."""
 
     applied_at: float
     backend_ids: list[int]
 
 
 class HollowGateway:
-    """One hollow gateway, which records when each change of the list was applied."""
+    """A hollow gateway that records when each change of the endpoint list was applied."""
 
     def __init__(self, raw_config: dict[str, Any], on_update: Callable[[], None] | None = None) -> None:
-        """`raw_config` holds no cached list; `on_update` is called after each part of a list or change."""
+        """`raw_config` holds no cached list; `on_update` is called after each part of a snapshot or delta."""
         config = parse_config(raw_config)
         parts = PartFactory(config, TimerQueue(asyncio.get_running_loop()))
         self.index = config.settings.gateway_index
@@ -88,13 +90,11 @@
         self._watch_task: asyncio.Task[None] | None = None
         self._request_ids = itertools.count(1)
         self.applied_deltas: list[AppliedDelta] = []
-        self._applied_at_by_backend: dict[
-            int, list[float]
-        ] = {}  # by backend, of the events that were searched
+        self._applied_at_by_backend: dict[int, list[float]] = {}  # monotonic seconds
         self.reset()
 
     def reset(self) -> None:
-        """Forget what was applied and served so far."""
+        """Clear the applied deltas and the request counts."""
         self.applied_deltas.clear()
         self._applied_at_by_backend.clear()
         self.sent_requests = 0
@@ -114,11 +114,11 @@
             self._on_update()
 
     def start(self) -> None:
-        """Read the list and watch it from then on."""
+        """Start to read the endpoint list and to watch its changes."""
         self._watch_task = asyncio.get_running_loop().create_task(self._watcher.run())
 
     async def wait_for_snapshot(self) -> None:
-        """Wait until a complete snapshot has been read; raises what ended the watch, if that ended."""
+        """Wait until a complete snapshot has been read; raise the watch's error if the watch ends first."""
         assert self._watch_task is not None
         snapshot_task = asyncio.get_running_loop().create_task(self._watcher.snapshot_received.wait())
         await asyncio.wait({snapshot_task, self._watch_task}, return_when=asyncio.FIRST_COMPLETED)
@@ -127,7 +127,7 @@
             self._watch_task.result()
 
     def applied_at(self, backend_id: int, since: float) -> float | None:
-        """Return when the first change of a backend since a time was applied, None where none was yet.
+        """Return when a change of a backend was first applied from `since` on, or None if none was yet.
 
         Both times are in monotonic seconds.
         """
@@ -135,20 +135,20 @@
         return next((at for at in self._applied_at_by_backend.get(backend_id, ()) if at >= since), None)
 
     def _index_deltas(self) -> None:
-        """Sort the events that have come since the last search by backend."""
+        """Move the deltas since the last call into the index by backend."""
         for delta in self.applied_deltas:
             for backend_id in delta.backend_ids:
                 self._applied_at_by_backend.setdefault(backend_id, []).append(delta.applied_at)
         self.applied_deltas.clear()
 
     def send_request(self, customers: CustomerSampler) -> None:
-        """Give the policy a request of one of this gateway's customers."""
+        """Give the dispatcher a request of one of the customers that this gateway serves."""
         command = self._parser.parse(customers.make_command(self.index, next(self._request_ids)))
         self.sent_requests += 1
         self._dispatcher.on_request(command, CountedReply(self))
 
     def close(self) -> None:
-        """End the watch and close all connections."""
+        """Cancel the watch and close all connections."""
         if self._watch_task is not None:
             self._watch_task.cancel()
         self._backends.close()
@@ -159,7 +159,7 @@
 async def send_requests(
     gateways: list[HollowGateway], customers: CustomerSampler, *, rate: float, seconds: float
 ) -> None:
-    """Give each gateway `rate` requests a second, evenly, and return after so many seconds."""
+    """Give each gateway `rate` requests a second at even intervals, for `seconds` seconds."""
     started_at = time.monotonic()
     total_rate = rate * len(gateways)
     async for due in due_requests(rate=total_rate, seconds=seconds, interval_s=REQUEST_INTERVAL_S):
@@ -169,7 +169,7 @@
 
 
 def freeze_garbage_collector() -> float:
-    """Collect and freeze, as the program does at the end of its start; return the wall time in ms."""
+    """Collect garbage and freeze the rest, as a gateway does when it starts; return the wall time in ms."""
     started_at = time.perf_counter()
     gc.collect()
     gc.freeze()
--- a/scale/hollow_processes.py
+++ b/scale/hollow_processes.py
@@ -1,4 +1,4 @@
-"""The processes of hollow gateways, as the leading process starts and calls them."""
+"""Lets the leading process start and call the worker processes of the hollow gateways."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class HollowTotals:
-    """What all hollow gateways together took in a phase."""
+    """Processor time, memory and requests of all hollow gateways together in a phase."""
 
     cpu_ms_per_s: float
     rss_mb: float
@@ -26,7 +26,7 @@
 
     @classmethod
     def add_up(cls, figures: Sequence[HollowFigures]) -> HollowTotals:
-        """Return the totals over all processes."""
+        """Return the sums of the figures of all processes."""
         return cls(
             cpu_ms_per_s=sum(process["cpu_s"] / process["seconds"] for process in figures) * 1000,
             rss_mb=sum(process["rss_mb"] for process in figures),
@@ -36,10 +36,10 @@
 
 
 class HollowProcesses:
-    """The processes of the hollow gateways of a fleet."""
+    """The worker processes that run the hollow gateways of a fleet."""
 
     def __init__(self, workers: Sequence[WorkerProcess], state_mb: float) -> None:
-        """`state_mb` is the memory that the state of each gateway takes."""
+        """`state_mb` is the mean memory that the state of a hollow gateway takes, in MB."""
         self._workers = workers
         self.state_mb = state_mb
 
@@ -47,7 +47,10 @@
     async def start(
         cls, supervisor: Supervisor, program: str, configs: Sequence[dict[str, Any]], *, processes: int
     ) -> HollowProcesses:
-        """Start a hollow gateway of a checkout for each configuration, spread over so many processes."""
+        """Start a hollow gateway for each configuration, spread over at most `processes` processes.
+
+        `program` is the checkout that the processes run.
+        """
         configs_by_process = [configs[offset::processes] for offset in range(min(processes, len(configs)))]
         workers = [await supervisor.start("hollow", Path(program)) for _ in configs_by_process]
         starts = (
@@ -63,23 +66,23 @@
         return cls(workers, growth_mb / len(configs))
 
     async def begin_phase(self) -> None:
-        """Measure from here on."""
+        """Begin a measured phase in all processes."""
         await self._call_all(0.0, "begin")
 
     async def read_totals(self) -> HollowTotals:
-        """Return what all gateways took since `begin`."""
+        """Return the totals of all hollow gateways since `begin_phase`."""
         return HollowTotals.add_up(await self._call_all(0.0, "read"))
 
     async def send_requests(self, customers: CustomerPopulation, *, rate: float, seconds: float) -> None:
-        """Give each gateway `rate` requests a second of its customers, for so many seconds."""
+        """Give each gateway `rate` requests a second of the customers it serves, for `seconds` seconds."""
         await self._call_all(seconds, "send_requests", customers=customers, rate=rate, seconds=seconds)
 
     async def propagation_delays(
         self, changes: Sequence[AnnouncedChange], timeout_s: float
     ) -> list[list[float]]:
-        """Return the delay of each change, one a gateway, in milliseconds.
+        """Return, for each change and gateway, the milliseconds until the gateway applied the change.
 
-        `propagation.NOT_APPLIED` stands for a change that was not applied within `timeout_s`.
+        `propagation.NOT_APPLIED` stands for a change that the gateway did not apply within `timeout_s`.
         """
         delays_by_process: list[list[list[float]]] = await self._call_all(
             timeout_s,
@@ -94,6 +97,6 @@
         ]
 
     async def _call_all(self, duration_s: float, method: str, **arguments: Any) -> list[Any]:
-        """Call a method of all processes, which takes `duration_s` by itself."""
+        """Call a method that runs for `duration_s` in all processes, and return the results."""
         calls = (worker.call_lasting(duration_s, method, **arguments) for worker in self._workers)
         return await asyncio.gather(*calls)
--- a/scale/load_generator.py
+++ b/scale/load_generator.py
@@ -1,4 +1,4 @@
-"""The worker role of the clients: requests at an even rate to real gateways, and what becomes of them."""
+"""Worker role of the clients: sends requests at an even rate to real gateways, and counts the outcomes."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from .resp import encode_command
 
 SEND_INTERVAL_S = 0.002
-"""Interval between two checks of which requests are due."""
+"""Seconds between two checks for requests that are due."""
 
 
 class LoadGenerator:
-    """The clients of one process, and its timer lag."""
+    """Sends the requests of one process's clients, and measures the process's timer lag."""
 
     def __init__(self) -> None:
         self._targets: list[GatewayTarget] = []
@@ -27,12 +27,18 @@
         self._lag = LagMeter()
 
     async def connect(self, gateways: list[list[int]], customers: dict[str, int]) -> None:
-        """Name the gateways, each by its index and port, and the fields of the `CustomerPopulation`."""
+        """Set the gateways, as pairs of index and port, and the customers.
+
+        `customers` holds the fields of a `CustomerPopulation`.
+        """
         self._targets = [GatewayTarget(index, port) for index, port in gateways]
         self._customers = CustomerSampler(CustomerPopulation(**customers))
 
     async def run(self, rate: float, seconds: float) -> LoadSummary:
-        """Send `rate` requests a second over all gateways, wait for the replies, and return the summary."""
+        """Send `rate` requests a second over all gateways for `seconds` seconds.
+
+        Wait for the replies, and return the summary.
+        """
         result = LoadResult()
         async for due in due_requests(rate=rate, seconds=seconds, interval_s=SEND_INTERVAL_S):
             for number in due:
@@ -48,7 +54,7 @@
         target.send(LoadRequest(command, result))
 
     async def _wait_for_replies(self, result: LoadResult) -> None:
-        """Wait until no request is in flight, and fail those that have no reply in time."""
+        """Wait until no request is in flight, and fail those without a reply after `REQUEST_TIMEOUT_S`."""
         deadline = time.monotonic() + REQUEST_TIMEOUT_S
         while result.in_flight and time.monotonic() < deadline:
             await asyncio.sleep(SEND_INTERVAL_S)
@@ -59,15 +65,15 @@
             target.expire_requests(sent_before)
 
     async def begin(self) -> None:
-        """Measure timer lag from here on."""
+        """Start to measure timer lag."""
         self._lag.begin()
 
     async def read(self) -> dict[str, LatencySummary]:
-        """Return the timer lag of this process in all measured phases."""
+        """Stop measuring timer lag, and return that of all measured phases."""
         return {"lag": self._lag.read()}
 
     def close(self) -> None:
-        """Abort all connections."""
+        """Stop the timer of the lag meter, and abort all connections."""
         self._lag.close()
         for target in self._targets:
             target.close()
--- a/scale/load_result.py
+++ b/scale/load_result.py
@@ -1,4 +1,4 @@
-"""What becomes of the requests of the clients."""
+"""Outcomes and latencies of the clients' requests."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from .histogram import LatencyHistogram
 
 MAX_IN_FLIGHT_REQUESTS = 5_000
-"""Requests in flight at once; those beyond are counted as unsent."""
+"""Maximum number of requests in flight; further requests are not sent, and counted as unsent."""
 
 
 @dataclass
 class LoadResult:
-    """What became of the requests of one run of the clients."""
+    """Counts and latencies of the requests in one run of the clients."""
 
     sent: int = 0
     unsent: int = 0
@@ -26,7 +26,10 @@
     added_latency: LatencyHistogram = field(default_factory=LatencyHistogram)
 
     def begin_request(self) -> bool:
-        """Count a request as sent; False, and counted as unsent, where too many are in flight."""
+        """Count a request as sent, and return True.
+
+        If too many requests are in flight, count it as unsent instead, and return False.
+        """
         if self.in_flight >= MAX_IN_FLIGHT_REQUESTS:
             self.unsent += 1
             return False
@@ -35,7 +38,7 @@
         return True
 
     def end_request(self, request: LoadRequest, reply: bytes | None) -> None:
-        """Count what became of a request; None: there was no reply."""
+        """Count the outcome of a request and its latency; `reply` is None if there was no reply."""
         self.in_flight -= 1
         if reply is not None and reply.startswith(b"$"):
             latency_ms = (time.monotonic() - request.sent_at) * 1000
@@ -49,7 +52,7 @@
             self.failed += 1
 
     def summary(self) -> LoadSummary:
-        """Return the counts of requests and the summaries of their latencies."""
+        """Return the request counts and the summaries of the latencies."""
         return {
             "sent": self.sent,
             "unsent": self.unsent,
@@ -62,7 +65,7 @@
 
 
 class LoadRequest:
-    """One request, from its sending to its reply."""
+    """One request of a client, and the result that its outcome is counted in."""
 
     __slots__ = ("command", "is_retry", "result", "sent_at")
 
@@ -73,5 +76,5 @@
         self.is_retry = False
 
     def end(self, reply: bytes | None) -> None:
-        """Count what became of the request; None: there was no reply."""
+        """Count the outcome of the request; `reply` is None if there was no reply."""
         self.result.end_request(self, reply)
--- a/scale/pacing.py
+++ b/scale/pacing.py
@@ -1,4 +1,4 @@
-"""Requests at an even rate, whatever becomes of those before (an open-loop load)."""
+"""Open-loop load: requests at an even rate, whether or not earlier requests are complete."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 async def due_requests(*, rate: float, seconds: float, interval_s: float) -> AsyncIterator[range]:
     """Yield, every `interval_s`, the numbers of the requests that have become due.
 
-    There are `rate` requests a second, for so many seconds; those missed in a stall are all due after it.
+    `rate` requests a second become due for `seconds` seconds; those missed in a stall are all due after it.
     """
     started_at = time.monotonic()
     total = int(rate * seconds)
--- a/scale/propagation.py
+++ b/scale/propagation.py
@@ -1,4 +1,4 @@
-"""How long announced endpoint changes take until gateways have applied them."""
+"""Propagation delays: the time from the announcement of endpoint changes until gateways have applied them."""
 
 from __future__ import annotations
 
@@ -9,27 +9,31 @@
 from .histogram import nearest_rank, summarize
 
 MAX_SAMPLED_CHANGES = 1_000
-"""Changes that are looked up at each gateway; of more, an evenly spaced sample."""
+"""Maximum number of changes that are looked up at each gateway; more are sampled at even intervals."""
 
 NOT_APPLIED = -1.0
-"""Stands for the delay, in milliseconds, of a change that was not applied in time."""
+"""Placeholder for the delay, in milliseconds, of a change that was not applied in time."""
 
 
 class AnnouncedChange(NamedTuple):
-    """A change of one backend, and when it was announced, in seconds of the monotonic clock."""
+    """A change of one backend, and when it was announced, in monotonic seconds."""
 
     host: str
     announced_at: float
 
 
 class PropagationSummary(TypedDict):
-    """The propagation delays of some changes: milliseconds until a part of the gateways applied each."""
+    """Summary of propagation delays.
+
+    For each change, `p50_ms`, `p99_ms` and `max_ms` are the delays until 50 %, 99 % and all of the gateways
+    had applied it; the summaries are over the changes.
+    """
 
     changes: int
     sampled: int
     gateways: int
     missing: int
-    """Pairs of a sampled change and a gateway that did not apply it in time."""
+    """Number of pairs of a sampled change and a gateway that did not apply it in time."""
 
     p50_ms: RepeatSummary
     p99_ms: RepeatSummary
@@ -37,7 +41,7 @@
 
 
 def announced_changes(announcements: Sequence[Announcement]) -> list[AnnouncedChange]:
-    """Return the single changes of some announcements."""
+    """Return one change for each host in the announcements."""
     return [
         AnnouncedChange(host, announcement["at"])
         for announcement in announcements
@@ -54,9 +58,10 @@
 def summarize_propagation(
     delays_by_change: Sequence[Sequence[float]], *, changes: int, gateways: int, timeout_s: float
 ) -> PropagationSummary:
-    """Summarize the delays of each sampled change, one a gateway; `changes` are all that were announced.
+    """Summarize the delays of the sampled changes; `changes` is the number of all announced changes.
 
-    A change that was not applied counts with the time-out, which its delay exceeds.
+    For each sampled change there is one delay per gateway, in milliseconds. A change that was not applied
+    counts with the time-out, which its delay exceeds.
     """
     missing = sum(delay_ms == NOT_APPLIED for delays in delays_by_change for delay_ms in delays)
     timeout_ms = timeout_s * 1000
--- a/scale/quickstart.py
+++ b/scale/quickstart.py
@@ -1,4 +1,4 @@
-"""The smallest run: a few real gateways on fake services, under load for some seconds."""
+"""Quickstart scenario, the smallest run: a few real gateways and fake services under load for seconds."""
 
 from __future__ import annotations
 
@@ -16,26 +16,26 @@
 from .tables import make_table, print_run
 
 GATEWAYS_PER_CUSTOMER = 2
-"""Size of each customer's gateway set, where there are as many gateways."""
+"""Gateways that serve each customer; with fewer gateways, all of them do."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class QuickstartScenario(RunOptions):
-    """The scenario and its options; it measures the first checkout only."""
+    """The quickstart scenario and its options; it measures only the first checkout."""
 
     gateways: int
     backends: int
     customers: int
     request_rate: float
-    """Requests a second over all gateways."""
+    """Requests per second over all gateways."""
 
     seconds: float
 
     def check(self) -> None:
-        """Check that this machine can carry these sizes.
+        """Check that this machine has the resources for the run.
 
         Raises:
-            UsageError: it cannot.
+            UsageError: the machine lacks memory, processes or file descriptors.
         """
         gateway_mb = machine.PROCESS_MB + machine.gateway_mb(self.backends, self.customers)
         gateway_mb += machine.read_buffer_mb(self.backends)
@@ -45,7 +45,7 @@
         machine.check_capacity(self.gateways * gateway_mb + support_mb, processes)
 
     async def run(self, progress: Console) -> Result:
-        """Start all processes, send the requests and count what became of them.
+        """Start all processes, send the requests and return their counts and latencies.
 
         Raises:
             RunError: a process failed.
@@ -64,7 +64,7 @@
         return result
 
     async def _start_gateways(self, environment: Environment) -> WorkerProcess:
-        """Start the gateways and return their clients."""
+        """Start the gateways and their clients; return the clients."""
         configs = [environment.config(index, self.gateways) for index in range(self.gateways)]
         gateways = await environment.launch_gateways(self.programs[0], configs)
         await environment.wait_for_watches(self.gateways)
@@ -78,7 +78,7 @@
 
 
 def print_result(console: Console, result: Result) -> None:
-    """Print what was served, rejected and failed, and how fast."""
+    """Print the table of the request counts, the latencies and the counter calls."""
     options = result.options
     requests = result.measured["requests"]
     rows = [(name, requests[name]) for name in ("sent", "served", "rejected", "failed")]
@@ -90,7 +90,7 @@
 
 
 def latency_rows(title: str, latency: LatencySummary) -> list[tuple[str, str]]:
-    """Return the rows of a latency: the median and the 99th percentile."""
+    """Return the table rows of a latency: the median and the 99th percentile."""
     return [
         (f"{title}, p50", f"{latency['p50_ms']:.2f} ms"),
         (f"{title}, p99", f"{latency['p99_ms']:.2f} ms"),
--- a/scale/resp.py
+++ b/scale/resp.py
@@ -1,6 +1,6 @@
-"""RESP2 as far as the fakes and the load generator speak it.
+"""The part of RESP2 that the fake backends and the load generator need.
 
-The peers are the program's own, so little is checked.
+The peers are the gateways of the run, so the input is hardly validated.
 """
 
 from __future__ import annotations
@@ -11,19 +11,19 @@
 
 
 def encode_command(*arguments: bytes) -> bytes:
-    """Return a command: an array of bulk strings."""
+    """Return a command as an array of bulk strings."""
     bulk_strings = (b"$%d\r\n%b\r\n" % (len(argument), argument) for argument in arguments)
     return b"*%d\r\n" % len(arguments) + b"".join(bulk_strings)
 
 
 class CommandReader:
-    """Splits a stream of bytes into commands."""
+    """Splits a byte stream into commands."""
 
     def __init__(self) -> None:
         self._buffer = b""
 
     def feed(self, data: bytes) -> list[list[bytes]]:
-        """Return the commands that are complete with these bytes."""
+        """Add received bytes, and return the commands that they complete."""
         self._buffer += data
         commands = []
         while (parsed := parse_command(self._buffer)) is not None:
@@ -34,10 +34,10 @@
 
 
 def parse_command(data: bytes) -> tuple[list[bytes], int] | None:
-    """Return the first command and where it ends, or None while it is incomplete.
+    """Return the first command and the offset of its end, or None while it is incomplete.
 
     Raises:
-        ProtocolError: the data is not a command.
+        ProtocolError: the data does not start with a command.
     """
     head_end = data.find(CRLF)
     if head_end < 0:
@@ -61,7 +61,10 @@
 
 
 def parse_reply(data: bytes) -> bytes | None:
-    """Return a gateway's reply once it is complete: an error line with its sign, or `$` and the value."""
+    """Return a gateway's reply, or None while it is incomplete.
+
+    A bulk string is returned as `$` and its value, any other reply as its first line, with its sign.
+    """
     head_end = data.find(CRLF)
     if head_end < 0:
         return None
--- a/scale/supervisor.py
+++ b/scale/supervisor.py
@@ -1,4 +1,4 @@
-"""The worker processes of a run: started, called and stopped by the leading process."""
+"""Starts, calls and stops the worker processes of a run, in the leading process."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 from .worker_protocol import MAX_LINE_BYTES, WorkerCall, WorkerResponse
 
 PACKAGE_ROOT = Path(__file__).resolve().parents[1]
-"""The folder that the package `scale` lies in."""
+"""Folder that contains the package `scale`."""
 
 EXIT_TIMEOUT_S = 5.0
-"""How long a worker may take to exit after its input has closed, before it is killed."""
+"""Seconds that a worker may take to exit after its input has closed, before it is killed."""
 
 CALL_TIMEOUT_S = 120.0
-"""How long a call may take by default: enough for a start on a busy machine."""
+"""Default time-out of a call, in seconds: enough for a start on a busy machine."""
 
 
 class WorkerProcess:
-    """One process with a role of `scale.worker`."""
+    """A worker process, which runs a role of `scale.worker`."""
 
     def __init__(self, role: str, process: asyncio.subprocess.Process, stderr: IO[bytes]) -> None:
         self.pid = process.pid
@@ -83,11 +83,11 @@
             self._pending_calls.pop(call.call_id, None)
 
     async def call_lasting(self, duration_s: float, method: str, /, **arguments: Any) -> Any:
-        """Call a method that takes `duration_s` by itself; the time-out comes on top of that."""
+        """Call a method that runs for `duration_s`; the default time-out is added to that."""
         return await self.call(method, timeout_s=duration_s + CALL_TIMEOUT_S, **arguments)
 
     async def stop(self) -> None:
-        """Close the worker's input, wait for its exit, and kill what is left of it and of its children."""
+        """Close the worker's input, wait for its exit, and kill the worker or descendants that still run."""
         descendants = self._descendants()
         assert self._process.stdin is not None
         self._process.stdin.close()
@@ -114,13 +114,13 @@
 
 
 class Supervisor:
-    """Owns all workers of a run; they have exited when its `async with` block is left, however it is left."""
+    """Owns the workers of a run; they have all exited when its `async with` block is left, in any way."""
 
     def __init__(self) -> None:
         self._workers: list[WorkerProcess] = []
 
     async def start(self, role: str, checkout: Path | None = None) -> WorkerProcess:
-        """Start a worker; one that measures imports the program from the folder `checkout`."""
+        """Start a worker with a role; a role that imports the gateway package gets it from `checkout`."""
         stderr = tempfile.TemporaryFile()  # noqa: SIM115 - the worker owns it, and closes it in `stop`
         process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -130,12 +130,12 @@
             role,
             *([str(checkout)] if checkout else []),
             cwd=checkout or PACKAGE_ROOT,
-            # No compiled files: a run must not write to the checkout that it measures.
+            # No bytecode files: a run must not write to the checkout that it measures.
             env={**os.environ, "PYTHONPATH": str(PACKAGE_ROOT), "PYTHONDONTWRITEBYTECODE": "1"},
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
             stderr=stderr,
-            start_new_session=True,  # Ctrl-C reaches the leading process alone, which stops all in order
+            start_new_session=True,  # Ctrl-C reaches only the leading process, which stops all in order
             limit=MAX_LINE_BYTES,
         )
         worker = WorkerProcess(role, process, stderr)
@@ -143,7 +143,7 @@
         return worker
 
     async def __aenter__(self) -> Self:
-        """Begin a run without workers."""
+        """Return the supervisor, which has no workers yet."""
         return self
 
     async def __aexit__(
--- a/scale/worker.py
+++ b/scale/worker.py
@@ -1,7 +1,7 @@
-"""A worker process of a run: `python -m scale.worker ROLE [FOLDER OF THE PROGRAM]`.
+"""A worker process of a run: `python -m scale.worker ROLE [CHECKOUT]`.
 
-It reads calls from standard input, responds to each on standard output, and exits when its input closes:
-nothing of a run outlives the process that leads it.
+It reads calls from standard input, responds to each on standard output, and exits when its input closes, so
+that no process of a run outlives the leading one.
 """
 
 from __future__ import annotations
@@ -25,24 +25,24 @@
     "hollow": "scale.hollow_fleet:HollowFleet",
     "measured": "scale.measured_gateway:MeasuredGateway",
 }
-"""Module and class of each role. `hollow` and `measured` import the program."""
+"""Module and class of each role. `hollow` and `measured` import the gateway package."""
 
 
 class Role(Protocol):
-    """What a worker does: each of its public coroutine methods may be called by name."""
+    """The role of a worker; the leading process calls its public coroutine methods by name."""
 
     def close(self) -> None:
-        """Release what the role holds; the process exits next."""
+        """Release the resources of the role; the process exits next."""
 
 
 def load_role(name: str) -> Role:
-    """Import and create the role of that name."""
+    """Import the role called `name`, and return an instance."""
     module, _, class_name = ROLES[name].partition(":")
     return cast(Role, getattr(importlib.import_module(module), class_name)())
 
 
 async def execute_call(role: Role, call: WorkerCall) -> bytes:
-    """Carry out a call; return the line of its response, whether it succeeded or failed."""
+    """Execute a call; return the encoded response, which holds the result or the error."""
     try:
         result = await getattr(role, call.method)(**call.arguments)
         return WorkerResponse(call_id=call.call_id, result=result).encode()
@@ -60,12 +60,12 @@
 
 
 async def respond(role: Role, call: WorkerCall, output: int) -> None:
-    """Carry out a call and write its response to the file descriptor `output`."""
+    """Execute a call and write its response to the file descriptor `output`."""
     write_all(output, await execute_call(role, call))
 
 
 async def serve_calls(role_name: str, output: int) -> None:
-    """Carry out calls, concurrently, until standard input closes."""
+    """Execute the calls on standard input concurrently until it closes; write the responses to `output`."""
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
@@ -83,10 +83,10 @@
 
 
 def main(argv: list[str]) -> int:
-    """Run the role that `argv` names, on the checkout that may follow it."""
+    """Run the role that `argv` names; a checkout may follow it."""
     role_name, *folder = argv
     output = os.dup(sys.stdout.fileno())
-    os.dup2(sys.stderr.fileno(), sys.stdout.fileno())  # output of the program must not mix with responses
+    os.dup2(sys.stderr.fileno(), sys.stdout.fileno())  # output of the gateway must not mix with responses
     if folder:
         prefer_checkout(folder[0])
         importlib.import_module(ROLES[role_name].partition(":")[0])
