--- a/tests/scale/test_customers.py
+++ b/tests/scale/test_customers.py
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize("gateway", range(10))
-def test_customers_come_to_gateways_of_their_sets_only(gateway: int) -> None:
+def test_a_gateway_gets_only_customers_that_it_serves(gateway: int) -> None:
     population = CustomerPopulation(count=1_000, gateways=10, gateways_per_customer=3, seed=1)
     customers = CustomerSampler(population)
 
