--- a/scale/fleet_run.py
+++ b/scale/fleet_run.py
@@ -24,7 +24,7 @@
 """Seconds between the start of the load around a burst and the announcement of the burst."""
 
 CUSTOMER_NUMBER_STEP = 10_000_000
-"""Offset between the customer numbers of successive phases, to keep their customers distinct."""
+"""Offset between the customer numbers of successive phases, so that no customer occurs in an earlier one."""
 
 STEADY_CHANGES = "steady changes"
 """Name, in tables and in the JSON result, of the phase with changes at an even rate."""
