--- a/scale/fleet_run.py
+++ b/scale/fleet_run.py
@@ -1,4 +1,4 @@
-"""One checkout's fleet, from its start to its figures."""
+"""Starts the fleet of one checkout and measures it phase by phase."""
 
 from __future__ import annotations
 
@@ -21,24 +21,24 @@
 from .supervisor import Supervisor, WorkerProcess
 
 BURST_DELAY_S = 0.1
-"""From the first request of a burst's window to the burst."""
+"""Seconds between the start of the load around a burst and the announcement of the burst."""
 
 CUSTOMER_NUMBER_STEP = 10_000_000
-"""Distance between the customer numbers of two phases: no customer is known from an earlier phase."""
+"""Offset between the customer numbers of successive phases, so that no customer occurs in an earlier one."""
 
 STEADY_CHANGES = "steady changes"
-"""What tables and the JSON call the phase with changes at an even rate."""
+"""Name, in tables and in the JSON result, of the phase with changes at an even rate."""
 
 
 class FleetCounts(NamedTuple):
-    """What the fakes counted in a phase, and what the hollow gateways took."""
+    """Counts of the fake services in a phase, and the totals of the hollow gateways."""
 
     services: dict[str, Any]
     hollow: HollowTotals
 
 
 class SteadyPhaseOutcome(NamedTuple):
-    """What a steady phase gave: the announced changes, the clients' figures and a hollow gateway's."""
+    """Results of a steady phase: announced changes, the clients' summary and the figures per gateway."""
 
     announcements: list[Announcement]
     requests: LoadSummary | None
@@ -47,7 +47,7 @@
 
 @dataclass(kw_only=True)
 class FleetRun:
-    """The processes of a fleet that is ready, and the phases that they are measured in."""
+    """Runs the measured phases on the processes of a started fleet."""
 
     options: FleetOptions
     result: Result
@@ -60,7 +60,7 @@
     async def start(
         cls, options: FleetOptions, supervisor: Supervisor, *, program: str, result: Result
     ) -> FleetRun:
-        """Start fake services, hollow gateways, real ones and their clients."""
+        """Start the fake services, the hollow gateways, the real gateways and the clients."""
         environment = await Environment.start(
             supervisor, backends=options.backends, seed=options.seed, stall_ms=options.stall_ms
         )
@@ -90,15 +90,15 @@
         )
 
     async def measure(self, progress: Console) -> dict[str, Any]:
-        """Return the figures of all phases, as they go into the JSON of the run."""
+        """Run all phases and return their figures in the form of the JSON result."""
         options = self.options
         propagation: dict[str, PropagationSummary] = {}
         requests: dict[str, LoadSummary | None] = {}
         progress.print("idle")
-        idle = await self._run_steadily(0.0)
+        idle = await self._run_steady_phase(0.0)
         requests["idle"] = idle.requests
         progress.print(f"{options.change_rate:g} changes a second")
-        changing = await self._run_steadily(options.change_rate)
+        changing = await self._run_steady_phase(options.change_rate)
         requests[STEADY_CHANGES] = changing.requests
         propagation[STEADY_CHANGES] = await self._measure_propagation(changing.announcements)
         for size in dict.fromkeys(min(size, options.backends - 1) for size in options.burst_sizes):
@@ -114,29 +114,29 @@
             "counter": await self._measure_counter_calls(),
         }
 
-    async def _begin(self) -> None:
-        await self.environment.begin(self.clients)
-        await self.hollow.begin()
+    async def _begin_phase(self) -> None:
+        await self.environment.begin_phase(self.clients)
+        await self.hollow.begin_phase()
 
-    async def _read(self) -> FleetCounts:
-        services = await self.environment.read(self.result, "in the fleet", self.clients)
-        return FleetCounts(services, await self.hollow.read())
+    async def _read_counts(self) -> FleetCounts:
+        services = await self.environment.read_counts(self.result, "in the fleet", self.clients)
+        return FleetCounts(services, await self.hollow.read_totals())
 
     async def _send_load(self, seconds: float) -> LoadSummary | None:
-        """Send requests to the real gateways; None where there are none."""
+        """Send requests to the real gateways and return their summary, or None without real gateways."""
         if not self.real_pids:
             return None
         return await send_load(self.clients, rate=self.options.real_request_rate, seconds=seconds)
 
-    async def _run_steadily(self, change_rate: float) -> SteadyPhaseOutcome:
-        """Announce changes at an even rate under load."""
+    async def _run_steady_phase(self, change_rate: float) -> SteadyPhaseOutcome:
+        """Run a phase under load in which changes are announced at an even rate."""
         seconds = self.options.phase_s
-        await self._begin()
-        announced = self.environment.discovery.call_lasting(
+        await self._begin_phase()
+        announce_call = self.environment.discovery.call_lasting(
             seconds, "announce_evenly", rate=change_rate, seconds=seconds
         )
-        announcements, requests = await asyncio.gather(announced, self._send_load(seconds))
-        counts = await self._read()
+        announcements, requests = await asyncio.gather(announce_call, self._send_load(seconds))
+        counts = await self._read_counts()
         hollow_gateways = self.options.hollow_gateways
         discovery_bytes = counts.services["discovery"]["sent"]
         per_gateway = {
@@ -148,20 +148,20 @@
         return SteadyPhaseOutcome(announcements, requests, per_gateway)
 
     async def _run_burst(self, size: int) -> tuple[PropagationSummary, LoadSummary | None]:
-        """Announce a burst in one watch event under load."""
+        """Run a phase under load in which one watch event announces `size` changes."""
         discovery = self.environment.discovery
         batch_id = await discovery.call("prepare", counts=[size])
-        await self._begin()
+        await self._begin_phase()
         load_task = asyncio.create_task(self._send_load(self.options.burst_window_s))
         await asyncio.sleep(BURST_DELAY_S)
         announcement = await discovery.call("announce", batch_id=batch_id)
         propagation = await self._measure_propagation([announcement])
         requests = await load_task
-        await self._read()
+        await self._read_counts()
         return propagation, requests
 
     async def _measure_propagation(self, announcements: Sequence[Announcement]) -> PropagationSummary:
-        """Wait until the changes are applied, and return how long the hollow gateways took."""
+        """Wait until the hollow gateways have applied the changes, and return a summary of the delays."""
         timeout_s = self.options.change_timeout_s
         changes = announced_changes(announcements)
         sample = sample_changes(changes)
@@ -173,7 +173,7 @@
         )
 
     async def _measure_counter_calls(self) -> dict[str, dict[str, Any]]:
-        """Measure the counter calls of each number of customers and size of their gateway sets."""
+        """Measure the counter calls for each combination of customers and gateways per customer."""
         options = self.options
         measured: dict[str, dict[str, Any]] = {}
         for count, gateways_per_customer in product(options.customers, options.gateways_per_customer):
@@ -185,15 +185,15 @@
                 first_number=(len(measured) + 1) * CUSTOMER_NUMBER_STEP,
             )
             phase = f"{count:,}, {gateways_per_customer} gateways each"
-            measured[phase] = await self._count_calls(customers)
+            measured[phase] = await self._run_counter_phase(customers)
         return measured
 
-    async def _count_calls(self, customers: CustomerPopulation) -> dict[str, Any]:
-        """Send requests of some customers to all hollow gateways; return what the counter got."""
+    async def _run_counter_phase(self, customers: CustomerPopulation) -> dict[str, Any]:
+        """Send requests of `customers` to all hollow gateways; return the counter calls and their cost."""
         seconds = self.options.phase_s
-        await self._begin()
+        await self._begin_phase()
         await self.hollow.send_requests(customers, rate=self.options.hollow_request_rate, seconds=seconds)
-        counts = await self._read()
+        counts = await self._read_counts()
         sent = counts.hollow.sent
         hollow_gateways = self.options.hollow_gateways
         counter = counts.services["counter"]
@@ -211,7 +211,7 @@
 
 
 def client_population(options: FleetOptions) -> CustomerPopulation:
-    """Return the customers whose clients call the real gateways."""
+    """Return the customers whose requests the clients send to the real gateways."""
     return CustomerPopulation(
         count=max(options.customers),
         gateways=options.fleet,
