--- a/gateway/policy/admission.py
+++ b/gateway/policy/admission.py
@@ -100,7 +100,7 @@
             return 0.0
         lease = request.lease
         if lease.shared_bucket:  # jitter: all that are rejected now would retry for the same token
-            return lease.shared_bucket.wait(shortfall + request.cost * self.rng.random())
+            return lease.shared_bucket.refill_time_ms(shortfall + request.cost * self.rng.random())
         return shortfall * 1000 / max(lease.plan.rate * lease.share, 1e-9)
 
     def retry_after(self, request: PendingRequest, quota_wait_ms: float) -> float:
--- a/gateway/policy/leases.py
+++ b/gateway/policy/leases.py
@@ -170,11 +170,11 @@
         """Take the shared bucket's level, as read for a request of a cost."""
         self.tokens = level
         self.share = max(self.fair_share, level / max(bucket.burst, 1e-9))
-        self.empty_until = now + bucket.wait(cost - level)
+        self.empty_until = now + bucket.refill_time_ms(cost - level)
         if level < cost:
-            fill_ms = bucket.wait(bucket.burst)
+            fill_ms = bucket.refill_time_ms(bucket.burst)
             self.likely_empty_until = self.empty_until + LIKELY_EMPTY_FILL_TIMES * fill_ms
-        self.fresh_until = now + bucket.wait(level - cost) / MAX_SPEND_RATE_MULTIPLE
+        self.fresh_until = now + bucket.refill_time_ms(level - cost) / MAX_SPEND_RATE_MULTIPLE
 
     def _record_total(self, now: float, period: int, total: float) -> None:
         self.expires_at = now + LEASE_MS
--- a/gateway/policy/policy.py
+++ b/gateway/policy/policy.py
@@ -17,7 +17,7 @@
 from .leases import LeaseTable
 from .load_balancing import LoadBalancer
 from .outlier_detection import OutlierDetector
-from .quota_counter import QuotaCounter
+from .quota_counter import QuotaCounterClient
 from .request_lifecycle import RequestLifecycle
 from .requests import PendingRequest
 from .response_stats import ResponseStats
@@ -34,7 +34,7 @@
         self.requests: dict[str, PendingRequest] = {}
         self.leases = LeaseTable(settings)
         self.counter_throttle = CounterThrottle(rng)
-        self.counter = QuotaCounter(settings, self.counter_throttle, self.leases, self.requests)
+        self.counter = QuotaCounterClient(settings, self.counter_throttle, self.leases, self.requests)
         self.stats = ResponseStats()
         self.backends = BackendTable(settings)
         outliers = OutlierDetector(self.backends, self.stats)
--- a/gateway/policy/quota_counter.py
+++ b/gateway/policy/quota_counter.py
@@ -21,7 +21,7 @@
 from .usage_reporting import UsageReporter
 
 
-class QuotaCounter:
+class QuotaCounterClient:
     """Passes each response of the counter to the part that made the call."""
 
     def __init__(
@@ -37,7 +37,7 @@
         self.calls = PendingCounterCalls()
         self.lease_refresher = LeaseRefresher(settings, self.calls, throttle)
         self.bucket_reader = SharedBucketReader(settings, self.calls, throttle)
-        self.usage = UsageReporter(settings, self.calls, throttle)
+        self.usage_reporter = UsageReporter(settings, self.calls, throttle)
 
     def on_response(self, now: float, response: CounterResponse, actions: Actions) -> PendingRequest | None:
         """Handle a response; returns the request that has waited for it and can be decided now."""
@@ -50,7 +50,7 @@
             return None
         request = self._waiting_request(call)
         if response.outcome in NOT_PROCESSED:  # a call that timed out may have been processed
-            self.usage.restore(call, lease, request)
+            self.usage_reporter.restore(call, lease, request)
         if response.outcome is not Outcome.OK:
             return request
         total = response.total
@@ -74,7 +74,7 @@
     def on_report_timer(self, now: float, customer: str, actions: Actions) -> None:
         """Report a customer's usage, if the customer is still known."""
         if lease := self.leases.by_customer.get(customer):
-            self.usage.on_report_timer(now, lease, actions)
+            self.usage_reporter.on_report_timer(now, lease, actions)
 
     def _waiting_request(self, call: CounterCall) -> PendingRequest | None:
         """The request that still waits for a call; None once it has been forwarded or finished."""
--- a/gateway/policy/request_lifecycle.py
+++ b/gateway/policy/request_lifecycle.py
@@ -4,7 +4,7 @@
 from .actions import Actions, Fail, Reject
 from .admission import SPARE_DELAY_FRACTION, AdmissionController
 from .leases import LeaseTable
-from .quota_counter import QuotaCounter
+from .quota_counter import QuotaCounterClient
 from .requests import PendingRequest
 from .retries import RetryController
 from .retry_safety import is_safe_to_resend
@@ -24,7 +24,7 @@
         self,
         settings: Settings,
         leases: LeaseTable,
-        counter: QuotaCounter,
+        counter: QuotaCounterClient,
         admission: AdmissionController,
         retries: RetryController,
     ) -> None:
@@ -61,7 +61,7 @@
     def on_client_disconnected(self, _now: float, event: events.ClientDisconnected, actions: Actions) -> None:
         """Forget a request that nobody waits for any more."""
         if request := self.requests.pop(event.request_id, None):
-            self.counter.usage.refund(request, actions)
+            self.counter.usage_reporter.refund(request, actions)
 
     def on_counter_response(self, now: float, event: events.CounterResponse, actions: Actions) -> None:
         """Handle a response of the counter, and decide the request that has waited for it."""
@@ -71,7 +71,7 @@
         self._admit(now, request, actions)
         lease = request.lease
         if event.outcome is events.Outcome.OK and lease.shared_bucket is not None:
-            self.counter.usage.report(now, lease, lease.shared_bucket, actions)
+            self.counter.usage_reporter.report(now, lease, lease.shared_bucket, actions)
 
     def on_attempt_ended(self, now: float, event: events.AttemptEnded, actions: Actions) -> None:
         """Finish the request of an attempt, or retry it, if no other attempt of it is in flight."""
@@ -112,14 +112,14 @@
             self._finish(request, actions, self.admission.quota_wait(request, shortfall))
             return
         if lease.shared_bucket is not None:
-            self.counter.usage.charge(request, shortfall, actions)
+            self.counter.usage_reporter.charge(request, shortfall, actions)
         lease.spend(request.cost)
         self.retries.start(now, request, backend, actions)
 
     def _finish(self, request: PendingRequest, actions: Actions, quota_wait_ms: float = 0.0) -> None:
         """Send the final response: a rejection only where it is safe to send the request again."""
         del self.requests[request.id]
-        self.counter.usage.refund(request, actions)
+        self.counter.usage_reporter.refund(request, actions)
         wait_ms = self.admission.retry_after(request, quota_wait_ms)
         actions.append(Reject(request.id, wait_ms) if is_safe_to_resend(request) else Fail(request.id))
         self.retries.cancel_all(request, actions)
--- a/gateway/policy/shared_bucket.py
+++ b/gateway/policy/shared_bucket.py
@@ -55,6 +55,6 @@
         """Units spent in a complete period beyond what it accrued, carried over to the next one."""
         return min(self.burst, max(0.0, spent - self.rate * PERIOD_MS / 1000))
 
-    def wait(self, units: float) -> float:
+    def refill_time_ms(self, units: float) -> float:
         """Milliseconds in which the bucket accrues so many units."""
         return max(0.0, units) * 1000 / max(self.rate, 1e-9)
--- a/tests/policy/test_shared_bucket.py
+++ b/tests/policy/test_shared_bucket.py
@@ -30,11 +30,11 @@
     assert bucket.level(start + 1000, 7, 9.0) == pytest.approx(1.0)
 
 
-@pytest.mark.parametrize(("missing_units", "wait_ms"), [(0.5, 250.0), (-1.0, 0.0)])
-def test_the_wait_for_missing_units_follows_from_the_rate(
-    bucket: SharedTokenBucket, missing_units: float, wait_ms: float
+@pytest.mark.parametrize(("missing_units", "refill_time_ms"), [(0.5, 250.0), (-1.0, 0.0)])
+def test_the_refill_time_of_missing_units_follows_from_the_rate(
+    bucket: SharedTokenBucket, missing_units: float, refill_time_ms: float
 ) -> None:
-    assert bucket.wait(missing_units) == wait_ms
+    assert bucket.refill_time_ms(missing_units) == refill_time_ms
 
 
 @pytest.mark.parametrize(
