--- a/gateway/policy/counter_throttle.py
+++ b/gateway/policy/counter_throttle.py
@@ -21,7 +21,7 @@
 """Least capacity estimate: some calls are always made, or a recovery of the counter would go unnoticed."""
 
 
-class CallUrgency(float, Enum):
+class ThrottleExponent(float, Enum):
     """Exponent applied to the estimated capacity; the larger, the sooner a call is left out."""
 
     LIKELY_WITHIN_QUOTA = 0.2
@@ -52,11 +52,11 @@
         if outcome is Outcome.TIMED_OUT:
             self.timely_capacity = max(MIN_CAPACITY, self.timely_capacity * CAPACITY_DECREASE_FACTOR)
 
-    def permits(self, urgency: CallUrgency) -> bool:
-        """Draw whether a call is made, by its urgency and both capacity estimates."""
-        return self.rng.random() <= math.pow(self.capacity, urgency) * self.timely_capacity
+    def permits(self, exponent: ThrottleExponent) -> bool:
+        """Draw whether a call is made, by its exponent and both capacity estimates."""
+        return self.rng.random() <= math.pow(self.capacity, exponent) * self.timely_capacity
 
-    def permits_upkeep(self) -> bool:
+    def permits_maintenance(self) -> bool:
         """Draw whether a call is made that keeps a total right: a refresh, a debt's read or a correction."""
         return self.rng.random() <= self.capacity
 
@@ -64,6 +64,6 @@
         """The probability with which a sampled report is sent; at least `minimum`."""
         return max(self.capacity * self.timely_capacity, minimum)
 
-    def is_sampled(self, probability: float) -> bool:
+    def permits_report(self, probability: float) -> bool:
         """Draw whether a sampled report is sent."""
         return self.rng.random() <= probability
--- a/gateway/policy/lease_refresh.py
+++ b/gateway/policy/lease_refresh.py
@@ -38,10 +38,10 @@
         if now < lease.fresh_until or not self.settings.counter_available or not lease.plan.rate:
             return
         units = lease.take_unreported_usage() / self.throttle.capacity
-        if not self.throttle.permits_upkeep():
+        if not self.throttle.permits_maintenance():
             return
         lease.begin_refresh(now)
-        call = RefreshLease(lease.key, int(now // lease.period_ms), round(units, UNIT_DECIMALS))
+        call = RefreshLease(lease.customer, int(now // lease.period_ms), round(units, UNIT_DECIMALS))
         self._send(lease, call, actions)
 
     def on_total(
@@ -53,8 +53,8 @@
         actions: Actions,
     ) -> None:
         """Resize a lease by the total of its period; the first call of a period reads the debt before it."""
-        if total <= call.units + TOTAL_TOLERANCE and self.throttle.permits_upkeep():
-            self.calls.send(lease, ReadLeaseDebt(lease.key, call.period - 1), actions)
+        if total <= call.units + TOTAL_TOLERANCE and self.throttle.permits_maintenance():
+            self.calls.send(lease, ReadLeaseDebt(lease.customer, call.period - 1), actions)
             return
         lease.resize(now, call.period, call.units, total)
 
@@ -65,10 +65,10 @@
         period = call.period + 1
         debt = min(lease.plan.burst, total - lease.plan.rate * lease.period_ms / 1000)
         if debt > 0:
-            self._send(lease, CarryOverLeaseDebt(lease.key, period, round(debt, UNIT_DECIMALS)), actions)
+            self._send(lease, CarryOverLeaseDebt(lease.customer, period, round(debt, UNIT_DECIMALS)), actions)
             return
         lease.resize(now, period, 0.0, 0.0)
 
     def _send(self, lease: Lease, call: RefreshLease | CarryOverLeaseDebt, actions: Actions) -> None:
         """Make a call; one that adds nothing is a read, and its response is handled as one."""
-        self.calls.send(lease, call if call.units else ReadLeaseDebt(lease.key, call.period), actions)
+        self.calls.send(lease, call if call.units else ReadLeaseDebt(lease.customer, call.period), actions)
--- a/gateway/policy/leases.py
+++ b/gateway/policy/leases.py
@@ -12,7 +12,7 @@
 
 from .events import RequestArrived
 from .settings import Plan, Settings
-from .shared_bucket import MEMORY_MS, RETAINED_PERIODS, SharedTokenBucket, counter_key
+from .shared_bucket import RETAINED_PERIODS, TOTAL_RETENTION_MS, SharedTokenBucket, counter_key
 
 LEASE_MS = 15_000.0
 """How long a lease lasts unless it is renewed."""
@@ -20,10 +20,10 @@
 REFRESH_INTERVAL_MS = 500.0
 """Least time between two refreshes of a lease, so that there are fewer calls to the counter than requests."""
 
-MIN_LOCAL_BURST = 1.5
+MIN_LOCAL_BURST_REQUESTS = 1.5
 """Fair share of the burst, in requests of the largest cost, under which the gateways share one bucket."""
 
-DEMAND_MEMORY_MS = 3_000.0
+DEMAND_TIME_CONSTANT_MS = 3_000.0
 """Time constant with which the demand here and at all gateways decays."""
 
 TOTAL_TOLERANCE = 0.01
@@ -44,10 +44,10 @@
     """A customer's lease: this gateway's share of the quota, and its local token bucket."""
 
     def __init__(
-        self, event: RequestArrived, plan: Plan, largest_cost: float, age_ms: float, now: float
+        self, event: RequestArrived, plan: Plan, largest_cost: float, uptime_ms: float, now: float
     ) -> None:
-        self.key = event.customer
-        self.counter_key = counter_key(self.key)
+        self.customer = event.customer
+        self.counter_key = counter_key(self.customer)
         self.plan = plan
         self.largest_cost = largest_cost
         self.fair_share = 1 / max(1, event.gateway_set_size)
@@ -55,18 +55,24 @@
         self.tokens = max(largest_cost, plan.burst * self.fair_share)
         # A hard limit must hold across a restart, and this process does not know what the one before it
         # forwarded: the share is counted as empty at the start, so that it can't be spent twice.
-        self.hard_limit_tokens = age_ms / 1000 * plan.hard_limit_rate * self.fair_share
+        self.hard_limit_tokens = uptime_ms / 1000 * plan.hard_limit_rate * self.fair_share
         self.refilled_at = now
         self.retention_ms = max(LEASE_MS, plan.hard_limit_burst / max(plan.hard_limit_rate, 1e-9) * 1000)
-        is_sparse = plan.burst * self.fair_share < MIN_LOCAL_BURST * largest_cost and plan.rate > 0
-        self.shared_bucket = SharedTokenBucket.of(self.key, plan.rate, plan.burst) if is_sparse else None
+        needs_shared_bucket = (
+            plan.burst * self.fair_share < MIN_LOCAL_BURST_REQUESTS * largest_cost and plan.rate > 0
+        )
+        self.shared_bucket = (
+            SharedTokenBucket.for_customer(self.customer, plan.rate, plan.burst)
+            if needs_shared_bucket
+            else None
+        )
         fill_ms = plan.burst / max(plan.rate, 1e-9) * 1000
         self.period_ms = min(LEASE_MS, max(REFRESH_INTERVAL_MS, fill_ms))  # an empty burst is full after it
         self.expires_at = now + LEASE_MS
         self.fresh_until = now
         self.empty_until = self.likely_empty_until = now  # of the shared bucket, as last read
-        self.demand_here = self.demand_of_all = 0.0  # recent units, here and at all gateways; they decay
-        self.demand_at = now
+        self.local_demand = self.total_demand = 0.0  # recent units, here and at all gateways; they decay
+        self.demand_updated_at = now
         self.last_period, self.last_total = -1, 0.0  # of the counter, as last read
         self.in_flight = 0
         self.unreported_usage = 0.0  # units; negative where more was reported than spent
@@ -75,7 +81,7 @@
     @property
     def total_lifetime_ms(self) -> float:
         """How long the counter keeps a total of the customer, from its first call."""
-        return MEMORY_MS if self.shared_bucket else RETAINED_PERIODS * self.period_ms
+        return TOTAL_RETENTION_MS if self.shared_bucket else RETAINED_PERIODS * self.period_ms
 
     def refill(self, now: float) -> None:
         """Add the tokens earned since the last refill, up to this gateway's share of the burst."""
@@ -129,29 +135,29 @@
         """Make no further refresh for a while, whether this one gets a response or not."""
         self.fresh_until = now + REFRESH_INTERVAL_MS
 
-    def resize(self, now: float, period: int, units: float, total: float) -> None:
-        """Resize a lease that is spent locally by a period's total, to which this gateway added `units`.
+    def resize(self, now: float, period: int, added_units: float, total: float) -> None:
+        """Resize a lease that is spent locally by a period's total; this gateway added `added_units` to it.
 
         The total holds the demand at all gateways and the debt carried over. The share follows this gateway's
         part of the recent demand, and the local bucket gets the share of what remains of the quota.
         """
         previous_total = self.last_total
         is_same_period = period == self.last_period
-        decay = math.exp((self.demand_at - now) / DEMAND_MEMORY_MS)
-        self.demand_at = now
+        decay = math.exp((self.demand_updated_at - now) / DEMAND_TIME_CONSTANT_MS)
+        self.demand_updated_at = now
         self._record_total(now, period, total)
         if is_same_period and total < previous_total - TOTAL_TOLERANCE:
             return  # the counter has lost its totals: this one does not show the demand
         if is_same_period:
-            self.demand_here = self.demand_here * decay + units
-            self.demand_of_all = self.demand_of_all * decay + max(units, total - previous_total)
+            self.local_demand = self.local_demand * decay + added_units
+            self.total_demand = self.total_demand * decay + max(added_units, total - previous_total)
         rate = self.plan.rate
         accrued = max(0.0, rate * (now - period * self.period_ms) / 1000)  # under 0 by rounding only
         remaining = accrued - (total - self.plan.burst)
-        utilization = min(1.0, self.demand_of_all * 1000 / DEMAND_MEMORY_MS / rate)
+        utilization = min(1.0, self.total_demand * 1000 / DEMAND_TIME_CONSTANT_MS / rate)
         self.share = self.fair_share
-        if self.demand_of_all:
-            self.share = 1 - (1 - min(1.0, self.demand_here / self.demand_of_all)) * utilization
+        if self.total_demand:
+            self.share = 1 - (1 - min(1.0, self.local_demand / self.total_demand)) * utilization
         self.tokens = max(self.tokens, remaining * self.share)
         fresh_ms = remaining / (MAX_SPEND_RATE_MULTIPLE * rate) * 1000
         self.fresh_until = now + max(REFRESH_INTERVAL_MS, fresh_ms)
@@ -198,26 +204,26 @@
     def lease_for(self, now: float, event: RequestArrived) -> Lease:
         """The lease of a request's customer, refilled, or a new one."""
         if now - self.swept_at > LEASE_MS:
-            self._forget_idle(now)
+            self._evict_idle_leases(now)
         lease = self.by_customer.get(event.customer)
         if lease is None:
             lease = Lease(
                 event,
                 plan=self.plans.get(event.plan) or Plan(event.plan),  # an unknown plan has no quota to keep
                 largest_cost=self.settings.max_request_cost,
-                age_ms=now - self.started_at,
+                uptime_ms=now - self.started_at,
                 now=now,
             )
             self.by_customer[event.customer] = lease
         lease.refill(now)
         return lease
 
-    def _forget_idle(self, now: float) -> None:
+    def _evict_idle_leases(self, now: float) -> None:
         """Forget customers without an attempt in flight or a request within their retention time."""
         active = [
             lease
             for lease in self.by_customer.values()
             if lease.in_flight or now - lease.refilled_at <= lease.retention_ms
         ]
-        self.by_customer = {lease.key: lease for lease in active}
+        self.by_customer = {lease.customer: lease for lease in active}
         self.swept_at = now
--- a/gateway/policy/shared_bucket.py
+++ b/gateway/policy/shared_bucket.py
@@ -15,7 +15,7 @@
 RETAINED_PERIODS = 4
 """Periods for which the counter keeps a total."""
 
-MEMORY_MS = RETAINED_PERIODS * PERIOD_MS
+TOTAL_RETENTION_MS = RETAINED_PERIODS * PERIOD_MS
 """How long the counter keeps a total, from its first call."""
 
 
@@ -28,7 +28,7 @@
 class SharedTokenBucket:
     """The token bucket of one customer; `now` is milliseconds on the policy's clock."""
 
-    offset: float
+    offset_ms: float
     """Milliseconds by which its periods begin early: if all customers' began at once, so would the calls that
     carry debts over."""
     rate: float
@@ -37,18 +37,18 @@
     """Units."""
 
     @classmethod
-    def of(cls, customer: str, rate: float, burst: float) -> "SharedTokenBucket":
+    def for_customer(cls, customer: str, rate: float, burst: float) -> "SharedTokenBucket":
         """The bucket of a customer, the same at all gateways."""
-        offset = int(counter_key(customer)[:8], 16) % int(PERIOD_MS)
-        return cls(float(offset), rate, burst)
+        offset_ms = int(counter_key(customer)[:8], 16) % int(PERIOD_MS)
+        return cls(float(offset_ms), rate, burst)
 
     def period(self, now: float) -> int:
         """The number of the present period."""
-        return int((now + self.offset) // PERIOD_MS)
+        return int((now + self.offset_ms) // PERIOD_MS)
 
     def level(self, now: float, period: int, spent: float) -> float:
         """Units held; over the burst where the customer was idle, which fills a real bucket no further."""
-        accrued = self.rate * max(0.0, now + self.offset - period * PERIOD_MS) / 1000
+        accrued = self.rate * max(0.0, now + self.offset_ms - period * PERIOD_MS) / 1000
         return self.burst + accrued - spent
 
     def debt(self, spent: float) -> float:
--- a/gateway/policy/shared_bucket_reads.py
+++ b/gateway/policy/shared_bucket_reads.py
@@ -14,16 +14,16 @@
     ReadSharedBucket,
     UndoCorrection,
 )
-from .counter_throttle import CallUrgency, CounterThrottle
+from .counter_throttle import CounterThrottle, ThrottleExponent
 from .leases import TOTAL_TOLERANCE, Lease
 from .requests import PendingRequest
 from .settings import Plan, Settings
 
-MAX_DEVIATION = 0.5
+MAX_RELATIVE_DEVIATION = 0.5
 """Fraction of the burst by which a level may be out of bounds before the total is corrected, and fraction of
 a correction by which the total after it may exceed the expected one before the correction is undone."""
 
-MAX_WAIT_TIMEOUTS = 2
+MAX_READ_WAIT_IN_TIMEOUTS = 2
 """Call time-outs of the counter that a request waits for its read at most: it may need a second call."""
 
 
@@ -53,24 +53,28 @@
             return False  # other gateways cannot have spent all of it since it was read
         is_likely_over_quota = now < lease.likely_empty_until or request.is_retry
         if not self._permits_read(lease.plan, is_likely_over_quota=is_likely_over_quota):
-            self._decide_unread(now, request, is_likely_over_quota=is_likely_over_quota)
+            self._assume_shortfall(now, request, is_likely_over_quota=is_likely_over_quota)
             return False
         reported_cost = 0.0 if is_likely_over_quota else request.cost
         request.replace_reported_cost(reported_cost)
         units = round(lease.take_unreported_usage() + reported_cost, UNIT_DECIMALS)
-        self.calls.send(lease, ReadSharedBucket(lease.key, bucket.period(now), units, request.id), actions)
-        request.schedule_check(now, now + MAX_WAIT_TIMEOUTS * self.settings.counter_timeout_ms, actions)
+        self.calls.send(
+            lease, ReadSharedBucket(lease.customer, bucket.period(now), units, request.id), actions
+        )
+        request.schedule_check(
+            now, now + MAX_READ_WAIT_IN_TIMEOUTS * self.settings.counter_timeout_ms, actions
+        )
         return True
 
     def on_total(
         self, now: float, request: PendingRequest, call: ReadSharedBucket, total: float, actions: Actions
     ) -> bool:
         """Take the level of a bucket that was read; false if its debt has to be read before."""
-        if total <= call.units + TOTAL_TOLERANCE and self.throttle.permits_upkeep():
+        if total <= call.units + TOTAL_TOLERANCE and self.throttle.permits_maintenance():
             lease = request.lease
-            self.calls.send(lease, ReadBucketDebt(lease.key, call.period - 1, request.id), actions)
+            self.calls.send(lease, ReadBucketDebt(lease.customer, call.period - 1, request.id), actions)
             return False
-        self._take_level(now, request, period=call.period, total=total, actions=actions)
+        self._update_level(now, request, period=call.period, total=total, actions=actions)
         return True
 
     def on_debt_read(
@@ -84,29 +88,29 @@
         debt = lease.shared_bucket.debt(total)
         if debt > 0:
             units = round(debt, UNIT_DECIMALS)
-            self.calls.send(lease, CarryOverBucketDebt(lease.key, period, units), actions)
+            self.calls.send(lease, CarryOverBucketDebt(lease.customer, period, units), actions)
         total = debt + request.reported_cost
-        self._take_level(now, request, period=period, total=total, actions=actions)
+        self._update_level(now, request, period=period, total=total, actions=actions)
 
     def on_corrected(self, lease: Lease, call: CorrectTotal, total: float, actions: Actions) -> None:
         """Undo a correction if another gateway has made it, too; one to an empty total is not checked."""
         if not call.expected_total:
             return
-        if (total - call.expected_total) / call.units > MAX_DEVIATION:
+        if (total - call.expected_total) / call.units > MAX_RELATIVE_DEVIATION:
             units = round(-call.units, UNIT_DECIMALS)
-            self.calls.send(lease, UndoCorrection(lease.key, call.period, units), actions)
+            self.calls.send(lease, UndoCorrection(lease.customer, call.period, units), actions)
 
     def _permits_read(self, plan: Plan, *, is_likely_over_quota: bool) -> bool:
         """Draw whether a bucket is read, by what a read may gain."""
         if plan.is_over_quota_free:
-            urgency = CallUrgency.OVER_QUOTA_IS_FREE
+            exponent = ThrottleExponent.OVER_QUOTA_IS_FREE
         elif is_likely_over_quota:
-            urgency = CallUrgency.LIKELY_OVER_QUOTA
+            exponent = ThrottleExponent.LIKELY_OVER_QUOTA
         else:
-            urgency = CallUrgency.LIKELY_WITHIN_QUOTA
-        return self.throttle.permits(urgency)
+            exponent = ThrottleExponent.LIKELY_WITHIN_QUOTA
+        return self.throttle.permits(exponent)
 
-    def _decide_unread(self, now: float, request: PendingRequest, *, is_likely_over_quota: bool) -> None:
+    def _assume_shortfall(self, now: float, request: PendingRequest, *, is_likely_over_quota: bool) -> None:
         """Assume what a request lacks where its bucket is not read; by default its lease decides."""
         lease = request.lease
         if lease.plan.is_over_quota_free:
@@ -115,7 +119,7 @@
         elif is_likely_over_quota:
             request.assume_shortfall(request.cost)
 
-    def _take_level(
+    def _update_level(
         self, now: float, request: PendingRequest, period: int, total: float, actions: Actions
     ) -> None:
         """Take a bucket's level for the request's lease; a total that no bucket can have is corrected."""
@@ -125,9 +129,9 @@
             return
         unbounded_level = bucket.level(now, period, total - request.reported_cost)
         level = max(0.0, min(unbounded_level, bucket.burst))
-        is_wrong = abs(unbounded_level - level) > MAX_DEVIATION * bucket.burst
-        if is_wrong and self.throttle.permits_upkeep():
-            surplus = round(unbounded_level - level, UNIT_DECIMALS)
+        needs_correction = abs(unbounded_level - level) > MAX_RELATIVE_DEVIATION * bucket.burst
+        if needs_correction and self.throttle.permits_maintenance():
+            correction = round(unbounded_level - level, UNIT_DECIMALS)
             expected_total = total + unbounded_level - level
-            self.calls.send(lease, CorrectTotal(lease.key, period, surplus, expected_total), actions)
+            self.calls.send(lease, CorrectTotal(lease.customer, period, correction, expected_total), actions)
         lease.set_level(now, bucket, level, request.cost)
--- a/gateway/policy/usage_reporting.py
+++ b/gateway/policy/usage_reporting.py
@@ -6,7 +6,7 @@
 
 from .actions import Actions, SetTimer
 from .counter_calls import UNIT_DECIMALS, CounterCall, PendingCounterCalls, ReportUsage
-from .counter_throttle import CallUrgency, CounterThrottle
+from .counter_throttle import CounterThrottle, ThrottleExponent
 from .leases import MIN_REPORT_UNITS, REFRESH_INTERVAL_MS, Lease
 from .requests import PendingRequest
 from .settings import Settings
@@ -53,9 +53,9 @@
         units = lease.take_unreported_usage()
         min_probability = min(1.0, MIN_REPORTS_PER_BURST / max(bucket.burst, MIN_REPORTS_PER_BURST))
         probability = self.throttle.sampling_probability(min_probability)
-        if abs(units) >= MIN_REPORT_UNITS and self.throttle.is_sampled(probability):
+        if abs(units) >= MIN_REPORT_UNITS and self.throttle.permits_report(probability):
             scaled_units = round(units / probability, UNIT_DECIMALS)
-            self.calls.send(lease, ReportUsage(lease.key, bucket.period(now), scaled_units), actions)
+            self.calls.send(lease, ReportUsage(lease.customer, bucket.period(now), scaled_units), actions)
 
     def on_report_timer(self, now: float, lease: Lease, actions: Actions) -> None:
         """Report a customer's usage, if no call has done so since the timer was set."""
@@ -63,10 +63,10 @@
         if bucket is None:
             return
         lease.release_report_timer()
-        if not lease.plan.is_over_quota_free or self.throttle.permits(CallUrgency.OVER_QUOTA_IS_FREE):
+        if not lease.plan.is_over_quota_free or self.throttle.permits(ThrottleExponent.OVER_QUOTA_IS_FREE):
             self.report(now, lease, bucket, actions)
 
     def _schedule_report(self, lease: Lease, actions: Actions) -> None:
         """Set a timer for a report, in case no call takes the usage along."""
         if self.settings.counter_available and lease.claim_report_timer():
-            actions.append(SetTimer(REFRESH_INTERVAL_MS, TimerToken(TimerKind.USAGE_REPORT, lease.key)))
+            actions.append(SetTimer(REFRESH_INTERVAL_MS, TimerToken(TimerKind.USAGE_REPORT, lease.customer)))
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -32,13 +32,13 @@
         super().__init__(gateway_count, customers, conditions, **settings_changes)
         self.units_within_quota = 0
         self.plans = {customer.plan.name: customer.plan for customer in customers}
-        self._ideal_quotas = {
+        self._single_gateway_quotas = {
             customer.name: ReferenceQuota.full(customer.plan, self.now) for customer in customers
         }
 
     def send_new_request(self, customer: Customer) -> None:
         """Meter the customer's requests; retries don't count."""
-        self.units_within_quota += self._ideal_quotas[customer.name].take(self.now)
+        self.units_within_quota += self._single_gateway_quotas[customer.name].take(self.now)
         super().send_new_request(customer)
 
     def forwarded_within_quota(self) -> float:
@@ -64,7 +64,7 @@
     """Neighbouring gateways in random order, from a random first one on."""
     start = rng.randrange(gateway_count)
     size = rng.randint(smallest_set, gateway_count)
-    gateways = [(start + place) % gateway_count for place in range(size)]
+    gateways = [(start + offset) % gateway_count for offset in range(size)]
     rng.shuffle(gateways)
     return gateways
 
@@ -86,7 +86,7 @@
     return customers
 
 
-def play_thin_quotas(counter_calls_per_s: float) -> MeteredFleet:
+def simulate_small_quotas(counter_calls_per_s: float) -> MeteredFleet:
     """Twenty seconds of customers whose quotas are thinner than their gateway sets."""
     conditions = Conditions(counter_calls_per_s=counter_calls_per_s, client_retries=2)
     fleet = MeteredFleet(GATEWAY_COUNT, create_customers(), conditions, max_retry_after_ms=1000.0)
@@ -94,9 +94,9 @@
     return fleet
 
 
-def test_quotas_thinner_than_the_fleet_hold_by_the_shared_total() -> None:
+def test_quotas_too_small_to_divide_hold_by_the_shared_total() -> None:
     """Rejected units must not count as spent: a customer would be rejected while its bucket is full."""
-    fleet = play_thin_quotas(counter_calls_per_s=2_000)
+    fleet = simulate_small_quotas(counter_calls_per_s=2_000)
 
     assert fleet.forwarded_within_quota() > 0.95
     assert fleet.forwarded_beyond_quota() < 0.06
@@ -104,16 +104,16 @@
 
 def test_an_overloaded_counter_is_called_where_the_result_is_not_known() -> None:
     """A call for every request from all gateways would overload the counter until no call succeeds."""
-    fleet = play_thin_quotas(counter_calls_per_s=180)  # about one call for each request
+    fleet = simulate_small_quotas(counter_calls_per_s=180)  # about one call for each request
 
     assert fleet.forwarded_within_quota() > 0.95
     assert fleet.forwarded_beyond_quota() < 0.1
 
 
-FULL_SIZE = 180
+FULL_SIZE_GATEWAY_COUNT = 180
 """Gateways of a fleet of full size."""
-THIN = Plan("thin", rate=0.8, burst=4, over_quota_cost=1.2)
-WIDE = Plan("wide", rate=4.2, burst=8, over_quota_cost=0.8)
+LOW_RATE = Plan("thin", rate=0.8, burst=4, over_quota_cost=1.2)
+HIGH_RATE = Plan("wide", rate=4.2, burst=8, over_quota_cost=0.8)
 REFERENCE_DELAY_MS = 100.0
 """Less than any endpoint list or meter takes to report, and so a strict measure."""
 
@@ -154,7 +154,7 @@
     """Also adds up what the delayed reference pays for the same requests."""
 
     def __init__(self, customers: list[Customer], conditions: Conditions) -> None:
-        super().__init__(FULL_SIZE, customers, conditions)
+        super().__init__(FULL_SIZE_GATEWAY_COUNT, customers, conditions)
         self._delayed_references = {
             customer.name: DelayedReference(customer.plan, self.now) for customer in customers
         }
@@ -181,7 +181,7 @@
     rng = random.Random(seed)
     customers = []
     for number in range(560):
-        plan = THIN if number % 10 else WIDE
+        plan = LOW_RATE if number % 10 else HIGH_RATE
         drawn = rng.random()
         if drawn < 0.11:
             quota_use = rng.uniform(2.9, 4.8)
@@ -189,13 +189,13 @@
             quota_use = rng.uniform(0.9, 1.2)
         else:
             quota_use = rng.uniform(0.15, 0.9)
-        gateways = create_gateway_set(rng, FULL_SIZE, smallest_set=FULL_SIZE // 2)
-        weights = [(place + 1) ** -1.2 for place in range(len(gateways))]
+        gateways = create_gateway_set(rng, FULL_SIZE_GATEWAY_COUNT, smallest_set=FULL_SIZE_GATEWAY_COUNT // 2)
+        weights = [(rank + 1) ** -1.2 for rank in range(len(gateways))]
         customers.append(Customer(f"{plan.name}{number}", plan, quota_use * plan.rate, gateways, weights))
     return customers
 
 
-def play_full_size(counter_calls_per_s: float, seed: int = 3) -> FullSizeFleet:
+def simulate_full_size(counter_calls_per_s: float, seed: int = 3) -> FullSizeFleet:
     """Ten seconds of a fleet without faults whose counter responds late when it is overloaded."""
     conditions = Conditions(
         seed=seed,
@@ -210,7 +210,7 @@
 
 
 def test_quotas_hold_at_full_size() -> None:
-    fleet = play_full_size(counter_calls_per_s=2_000)
+    fleet = simulate_full_size(counter_calls_per_s=2_000)
 
     assert fleet.forwarded_within_quota() > 0.95
     assert fleet.over_quota_cost() < 0.05
@@ -219,7 +219,7 @@
 
 def test_a_fleet_of_full_size_does_not_prolong_the_overload_of_its_counter() -> None:
     """Once its queue takes longer than the time-out, the counter handles calls that no gateway waits for."""
-    fleet = play_full_size(counter_calls_per_s=500)  # less than one call for each request
+    fleet = simulate_full_size(counter_calls_per_s=500)  # less than one call for each request
 
     assert fleet.forwarded_within_quota() > 0.87
     assert fleet.over_quota_cost() < min(0.16, fleet.reference_over_quota_cost() + 0.1)
@@ -229,7 +229,7 @@
 FREE = Plan("free")
 
 
-def play_without_quotas(latency_ms: Callable[[random.Random, int], float]) -> Fleet:
+def simulate_without_quotas(latency_ms: Callable[[random.Random, int], float]) -> Fleet:
     """Thirty seconds of gateways that get six requests a second each."""
     customers = [Customer(f"c{index}", FREE, rate=6.0, gateways=[index]) for index in range(GATEWAY_COUNT)]
     fleet = Fleet(GATEWAY_COUNT, customers, Conditions(latency_ms=latency_ms), counter_available=False)
@@ -239,7 +239,7 @@
 
 def test_few_requests_in_flight_are_not_taken_for_a_queue() -> None:
     """Five requests in flight at six responses a second are too few to estimate a queueing delay from."""
-    fleet = play_without_quotas(exponential_latency(400))
+    fleet = simulate_without_quotas(exponential_latency(400))
 
     requested = fleet.counts[CountKey(FleetEvent.REQUESTED, FREE.name)]
     rejected = fleet.counts[CountKey(FleetEvent.REJECTED_WITHIN_QUOTA, FREE.name)]
@@ -249,7 +249,7 @@
 
 def test_few_requests_in_flight_at_slow_backends_are_shed() -> None:
     """No gateway of a large fleet sees a queue of its own, though the requests of all of them wait in one."""
-    fleet = play_without_quotas(lambda _rng, _backend_id: 1_500.0)
+    fleet = simulate_without_quotas(lambda _rng, _backend_id: 1_500.0)
 
     requested = fleet.counts[CountKey(FleetEvent.REQUESTED, FREE.name)]
     rejected = fleet.counts[CountKey(FleetEvent.REJECTED_WITHIN_QUOTA, FREE.name)]
@@ -269,7 +269,7 @@
         fleet.send_request(customer)
     fleet.play(0.1)
 
-    bucket = SharedTokenBucket.of(customer.name, LARGE.rate, LARGE.burst)
+    bucket = SharedTokenBucket.for_customer(customer.name, LARGE.rate, LARGE.burst)
     period = bucket.period(fleet.now)
     total = fleet.counter.totals[f"{period}:{counter_key(customer.name)}"]
     level = bucket.level(fleet.now, period, total)
--- a/tests/policy/test_leases.py
+++ b/tests/policy/test_leases.py
@@ -115,7 +115,7 @@
     assert len(attempts) == FIRM.concurrency_limit / 2
 
 
-def test_requests_beyond_the_quota_are_forwarded_where_they_earn_and_capacity_is_spare() -> None:
+def test_requests_beyond_the_quota_are_forwarded_where_they_earn_revenue_and_capacity_is_spare() -> None:
     harness = PolicyHarness(counter_available=False)
 
     forwarded = count_forwarded(harness, 30, pause_ms=1, plan=BONUS.name)
--- a/tests/policy/test_shared_bucket_reads.py
+++ b/tests/policy/test_shared_bucket_reads.py
@@ -14,7 +14,7 @@
 )
 from tests.support.policy_settings import BONUS
 
-SPARSE_SET_SIZE = 100
+SHARED_BUCKET_SET_SIZE = 100
 """Gateways of a set over which the burst of 8 is too thin to be spent locally."""
 
 
@@ -22,11 +22,11 @@
     ("total", "attempt_count", "rejection_count"),
     [pytest.param(5.0, 1, 0, id="tokens are left"), pytest.param(1e9, 0, 1, id="the bucket is empty")],
 )
-def test_a_request_on_a_sparse_lease_waits_for_the_shared_bucket(
+def test_a_request_that_needs_the_shared_bucket_waits_until_it_is_read(
     harness: PolicyHarness, total: float, attempt_count: int, rejection_count: int
 ) -> None:
     """Local buckets of one unit at each of a hundred gateways would admit a hundred units in all."""
-    actions = harness.request(gateway_set_size=SPARSE_SET_SIZE)
+    actions = harness.request(gateway_set_size=SHARED_BUCKET_SET_SIZE)
     call = only_counter_call_in(actions)
     assert not attempts_in(actions)
     assert not rejections_in(actions)
@@ -38,14 +38,14 @@
 
 
 def test_a_request_is_admitted_if_the_counter_does_not_respond(harness: PolicyHarness) -> None:
-    harness.request(gateway_set_size=SPARSE_SET_SIZE)
+    harness.request(gateway_set_size=SHARED_BUCKET_SET_SIZE)
 
     actions = harness.pass_time(200)
 
     assert len(attempts_in(actions)) == 1
 
 
-def serve_at_shared_counter(harness: PolicyHarness, customer: str, totals: dict[str, float]) -> int:
+def serve_with_shared_counter(harness: PolicyHarness, customer: str, totals: dict[str, float]) -> int:
     """Serve a request to its end, with a counter that responds at once; returns the attempts it took."""
     attempt_count = 0
     pending = harness.request(customer=customer, gateway_set_size=120)
@@ -71,9 +71,9 @@
     for step in range(600):  # one minute: ten requests a second against a quota of two, and one a second
         harness = harnesses[step * 37 % 120]
         harness.pass_time(start + step * 100 - harness.now)
-        flood_forwarded += serve_at_shared_counter(harness, "flood", totals)
+        flood_forwarded += serve_with_shared_counter(harness, "flood", totals)
         if step % 10 == 0:
-            calm_forwarded += serve_at_shared_counter(harness, "calm", totals)
+            calm_forwarded += serve_with_shared_counter(harness, "calm", totals)
 
     assert calm_forwarded == 60
     assert 0.6 * 120 < flood_forwarded < 1.3 * 128, "two a second for a minute and a burst of eight"
@@ -87,15 +87,15 @@
     read_count = 0
     for seed in range(40):
         harness = PolicyHarness(seed=seed)
-        call = only_counter_call_in(harness.request(gateway_set_size=SPARSE_SET_SIZE))
+        call = only_counter_call_in(harness.request(gateway_set_size=SHARED_BUCKET_SET_SIZE))
         harness.respond_to_counter(call, 1e3)
         harness.set_counter_capacity(0.1)
         harness.pass_time(idle_ms)
-        read_count += len(counter_calls_in(harness.request(gateway_set_size=SPARSE_SET_SIZE)))
+        read_count += len(counter_calls_in(harness.request(gateway_set_size=SHARED_BUCKET_SET_SIZE)))
     return read_count
 
 
-def test_an_emptied_bucket_is_rarely_read_from_an_overloaded_counter_while_likely_short() -> None:
+def test_an_emptied_bucket_is_rarely_read_from_an_overloaded_counter_while_likely_empty() -> None:
     assert count_reads_after_empty(idle_ms=5_000) <= 2
 
 
@@ -116,7 +116,7 @@
 
     for _ in range(20):
         harness.set_counter_capacity(0.1)
-        actions = harness.request(plan=BONUS.name, gateway_set_size=SPARSE_SET_SIZE)
+        actions = harness.request(plan=BONUS.name, gateway_set_size=SHARED_BUCKET_SET_SIZE)
         call_count += len(counter_calls_in(actions))
         forwarded += len(attempts_in(actions))
 
