--- a/gateway/policy/counter_calls.py
+++ b/gateway/policy/counter_calls.py
@@ -1,8 +1,8 @@
-"""The calls that a gateway makes to the counter service, and those that await a response.
+"""The kinds of calls to the counter service, and the calls that await a response.
 
 The counter service adds numbers up under names. Each customer has one such total for each period of time. A
-call adds units to the total of a period and gets the new total in its response; one that adds 0 only reads.
-There is one type for each kind of call; its fields are what the handler of the response needs.
+call adds units to the total of a period, and its response holds the new total; a call that adds 0 only reads.
+Each kind of call has a class, whose fields are what the handler of the response needs.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 from .leases import Lease
 
 UNIT_DECIMALS = 3
-"""Decimal places of a unit that a call adds."""
+"""Decimal places to which the units of a call are rounded."""
 
 
 class CounterCall:
-    """A call to the counter; the base of all kinds.
+    """Base class of all calls to the counter.
 
-    The kinds are plain classes, not dataclasses or named tuples: those generate and compile their methods at
+    The calls are plain classes because dataclasses and named tuples generate and compile their methods at
     import, which would lengthen the start of a gateway.
     """
 
@@ -33,27 +33,27 @@
 
 
 class RefreshLease(CounterCall):
-    """Adds the demand at this gateway, to learn the demand at all gateways of the customer."""
+    """Adds the customer's demand at this gateway, to get the demand at all gateways."""
 
     __slots__ = ()
 
 
 class ReadLeaseDebt(CounterCall):
-    """Reads the total of a period that has ended, for the units beyond its quota."""
+    """Reads the total of a period that has ended, to find the units beyond its quota."""
 
     __slots__ = ()
 
 
 class CarryOverLeaseDebt(CounterCall):
-    """Adds the units that the period before went beyond its quota to the present period."""
+    """Adds the units by which the previous period exceeded its quota to the current period."""
 
     __slots__ = ()
 
 
 class ReadSharedBucket(CounterCall):
-    """Reads a shared bucket for a request that waits, and spends the request's units if it is likely to pass.
+    """Reads a shared bucket for a waiting request; spends the request's units if it is likely to be admitted.
 
-    The units hold unreported usage of earlier requests, too.
+    The units also include unreported usage of earlier requests.
     """
 
     __slots__ = ("request_id",)
@@ -64,7 +64,7 @@
 
 
 class ReadBucketDebt(CounterCall):
-    """Reads the period before the present one for a request that waits, for the debt that it left."""
+    """Reads the total of the previous period for a waiting request, to find the debt that the period left."""
 
     __slots__ = ("request_id",)
 
@@ -74,15 +74,15 @@
 
 
 class CarryOverBucketDebt(CounterCall):
-    """Adds the debt that the period before left to the present period of a shared bucket."""
+    """Adds the debt that the previous period left to the current period of a shared bucket."""
 
     __slots__ = ()
 
 
 class CorrectTotal(CounterCall):
-    """Brings the total of a shared bucket back to what a real bucket can hold.
+    """Corrects the total of a shared bucket to what a real bucket can hold.
 
-    `expected_total` is the total after it, unless another gateway corrects the total at the same time.
+    `expected_total` is the total after the correction, unless another gateway makes one at the same time.
     """
 
     __slots__ = ("expected_total",)
@@ -93,31 +93,31 @@
 
 
 class UndoCorrection(CounterCall):
-    """Takes back a correction that another gateway has made as well."""
+    """Undoes a correction that another gateway has made as well."""
 
     __slots__ = ()
 
 
 class ReportUsage(CounterCall):
-    """Adds unreported usage of a shared bucket; negative for units that were reported and not spent."""
+    """Adds unreported usage of a shared bucket; the units are negative if more was reported than spent."""
 
     __slots__ = ()
 
 
 class PendingCounterCalls:
-    """The calls that await a response; the counter responds to those of one name in their order."""
+    """The calls that await a response; the counter responds to those of one name in the order of sending."""
 
     def __init__(self) -> None:
         self.by_name: dict[str, deque[CounterCall]] = {}
 
     def send(self, lease: Lease, call: CounterCall, actions: Actions) -> None:
-        """Make a call."""
+        """Send a call and record that it awaits a response."""
         name = f"{call.period}:{lease.counter_key}"
         self.by_name.setdefault(name, deque()).append(call)
         actions.append(IncrementCounter(name, call.units, lease.total_lifetime_ms))
 
     def take(self, response: CounterResponse) -> CounterCall | None:
-        """Remove and return the call that a response belongs to; None if no call of that name is open."""
+        """Remove and return the call that a response belongs to; None if no call of that name awaits one."""
         pending = self.by_name.get(response.name)
         if not pending:
             return None
--- a/gateway/policy/counter_throttle.py
+++ b/gateway/policy/counter_throttle.py
@@ -2,7 +2,7 @@
 
 Each gateway estimates the fraction of its calls that the counter can handle, from the outcomes of its own
 calls (adaptive throttling, after "Handling Overload" in Site Reliability Engineering), and leaves out the
-calls that gain least. Retrying against an overloaded counter would prolong the overload.
+calls with the least benefit. Retrying against an overloaded counter would prolong the overload.
 """
 
 import math
@@ -12,38 +12,38 @@
 from .events import Outcome
 
 CAPACITY_INCREASE = 0.005
-"""Added to the capacity estimates by each call that succeeds."""
+"""Amount by which each call that succeeds raises the capacity estimates."""
 
 CAPACITY_DECREASE_FACTOR = 0.9
-"""Multiplies the capacity estimates at each call that fails."""
+"""Factor by which each call that fails lowers the capacity estimates."""
 
 MIN_CAPACITY = 0.1
-"""Least capacity estimate: some calls are always made, or a recovery of the counter would go unnoticed."""
+"""Minimum of the capacity estimates: without any calls, a recovery of the counter would go unnoticed."""
 
 
 class ThrottleExponent(float, Enum):
-    """Exponent applied to the estimated capacity; the larger, the sooner a call is left out."""
+    """Exponent applied to the estimated capacity; the larger it is, the sooner a call is left out."""
 
     LIKELY_WITHIN_QUOTA = 0.2
-    """The request is likely to be admitted, and needs its tokens reserved."""
+    """The request is likely to be admitted, and its tokens must be reserved."""
     LIKELY_OVER_QUOTA = 4.0
-    """The request is likely to be rejected whatever the counter responds."""
+    """The request is likely to be rejected, whatever the counter responds."""
     OVER_QUOTA_IS_FREE = 6.0
-    """Serving the customer beyond the quota costs nothing."""
+    """Serving the customer beyond the quota costs no more than it brings."""
 
 
 class CounterThrottle:
-    """Estimates the counter's capacity, and decides which calls are made."""
+    """Estimates the counter's capacity, and decides at random which calls are made."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
         self.capacity = 1.0
         """Estimated fraction of calls that succeed, from 0 to 1."""
         self.timely_capacity = 1.0
-        """Estimated fraction of calls that do not time out, from 0 to 1; it counts time-outs once more."""
+        """Estimated fraction of calls that do not time out, from 0 to 1; time-outs lower both estimates."""
 
     def record(self, outcome: Outcome) -> None:
-        """Update the estimates by the outcome of a call: additive increase, multiplicative decrease."""
+        """Update the estimates by a call's outcome: additive increase, multiplicative decrease."""
         if outcome is Outcome.OK:
             self.capacity = min(1.0, self.capacity + CAPACITY_INCREASE)
             self.timely_capacity = min(1.0, self.timely_capacity + CAPACITY_INCREASE)
@@ -53,17 +53,20 @@
             self.timely_capacity = max(MIN_CAPACITY, self.timely_capacity * CAPACITY_DECREASE_FACTOR)
 
     def permits(self, exponent: ThrottleExponent) -> bool:
-        """Draw whether a call is made, by its exponent and both capacity estimates."""
+        """Decide at random whether to make a call, by its exponent and both capacity estimates."""
         return self.rng.random() <= math.pow(self.capacity, exponent) * self.timely_capacity
 
     def permits_maintenance(self) -> bool:
-        """Draw whether a call is made that keeps a total right: a refresh, a debt's read or a correction."""
+        """Decide at random whether to make a call that keeps a total correct.
+
+        Such calls are refreshes, reads of debts and corrections.
+        """
         return self.rng.random() <= self.capacity
 
     def sampling_probability(self, minimum: float) -> float:
-        """The probability with which a sampled report is sent; at least `minimum`."""
+        """Return the probability with which to send a sampled report; at least `minimum`."""
         return max(self.capacity * self.timely_capacity, minimum)
 
     def permits_report(self, probability: float) -> bool:
-        """Draw whether a sampled report is sent."""
+        """Decide at random, with the given probability, whether to send a sampled report."""
         return self.rng.random() <= probability
--- a/gateway/policy/lease_refresh.py
+++ b/gateway/policy/lease_refresh.py
@@ -1,8 +1,8 @@
-"""The refresh of leases that are spent locally.
+"""Refreshes the leases that are spent locally.
 
-A gateway adds the demand that it has met to the customer's total of the period, rejected requests included.
+A gateway adds the demand that it received, rejected requests included, to the customer's total of the period.
 The response holds the demand at all gateways, by which the lease is resized. Demand beyond the quota of a
-period is a debt that whoever is first to call in the next period carries over.
+period is a debt, which the gateway that makes the first call of the next period carries over.
 """
 
 from .actions import Actions
@@ -30,8 +30,8 @@
     def refresh(self, now: float, request: PendingRequest, actions: Actions) -> None:
         """Record the demand of a request, and report it if a refresh is due.
 
-        Sampled reporting: a call is made with a probability p and its units are scaled by 1/p, so that totals
-        stay unbiased while an overloaded counter gets fewer calls.
+        Reports are sampled: a call is made with a probability p and its units are scaled by 1/p, so that
+        totals stay unbiased while an overloaded counter gets fewer calls.
         """
         lease = request.lease
         lease.record_usage(request.cost)
@@ -52,7 +52,10 @@
         total: float,
         actions: Actions,
     ) -> None:
-        """Resize a lease by the total of its period; the first call of a period reads the debt before it."""
+        """Resize a lease by the total of its period.
+
+        After the first call of a period, the debt of the previous period is read first.
+        """
         if total <= call.units + TOTAL_TOLERANCE and self.throttle.permits_maintenance():
             self.calls.send(lease, ReadLeaseDebt(lease.customer, call.period - 1), actions)
             return
@@ -61,7 +64,7 @@
     def on_debt_read(
         self, now: float, lease: Lease, call: ReadLeaseDebt, total: float, actions: Actions
     ) -> None:
-        """Carry the debt of a period over to the next one; without a debt, that one begins empty."""
+        """Carry the debt of a period over to the next one; without a debt, the next total starts at 0."""
         period = call.period + 1
         debt = min(lease.plan.burst, total - lease.plan.rate * lease.period_ms / 1000)
         if debt > 0:
@@ -70,5 +73,5 @@
         lease.resize(now, period, 0.0, 0.0)
 
     def _send(self, lease: Lease, call: RefreshLease | CarryOverLeaseDebt, actions: Actions) -> None:
-        """Make a call; one that adds nothing is a read, and its response is handled as one."""
+        """Send a call; one that adds nothing becomes a read, and its response is handled as a read's."""
         self.calls.send(lease, call if call.units else ReadLeaseDebt(lease.customer, call.period), actions)
--- a/gateway/policy/leases.py
+++ b/gateway/policy/leases.py
@@ -1,10 +1,10 @@
-"""Leases: what each customer may use at this gateway, in cost units; times are milliseconds.
+"""Leases: how much each customer may use at this gateway, in cost units; times are in milliseconds.
 
-A customer's quota holds for all gateways together, but each gateway admits requests by itself. So it holds a
-lease for each customer: a share of the quota that it spends locally, from a token bucket of its own. The
-lease is resized as the demand moves between gateways; one that is not renewed in time reverts to the fair
-share, with which all gateways together cannot exceed the quota. Where the fair share of the burst is too
-small to be spent locally, the customer's gateways share one bucket on the counter service instead
+A customer's quota holds for all gateways together, but each gateway admits requests by itself. Each gateway
+therefore holds a lease for each customer: a share of the quota that it spends from a local token bucket. The
+lease is resized as the demand moves between gateways; a lease that is not renewed in time reverts to the fair
+share, with which all gateways together cannot exceed the quota. If the fair share of the burst is too small
+to be spent locally, the customer's gateways share one bucket on the counter service instead
 (`SharedTokenBucket`).
 """
 
@@ -18,26 +18,29 @@
 """How long a lease lasts unless it is renewed."""
 
 REFRESH_INTERVAL_MS = 500.0
-"""Least time between two refreshes of a lease, so that there are fewer calls to the counter than requests."""
+"""Minimum time between two refreshes of a lease, so that the counter gets fewer calls than the gateway
+gets requests."""
 
 MIN_LOCAL_BURST_REQUESTS = 1.5
-"""Fair share of the burst, in requests of the largest cost, under which the gateways share one bucket."""
+"""If the fair share of the burst is less than this many requests of the largest cost, the customer's gateways
+share one bucket."""
 
 DEMAND_TIME_CONSTANT_MS = 3_000.0
-"""Time constant with which the demand here and at all gateways decays."""
+"""Time constant of the exponential decay of the demand at this gateway and at all gateways."""
 
 TOTAL_TOLERANCE = 0.01
-"""Units by which a total of the counter may be off by rounding."""
+"""Units by which a total of the counter may be wrong because of rounding."""
 
 MIN_REPORT_UNITS = 0.01
-"""Least unreported usage for which a call is made; less than that is rounding."""
+"""Minimum unreported usage, in units, for which a call is made; less than that is rounding error."""
 
 LIKELY_EMPTY_FILL_TIMES = 2.0
-"""After a shared bucket was read as empty, further requests are likely over quota for so many fill times."""
+"""How long requests are assumed to be over quota after a shared bucket was read as empty, in multiples of the
+time in which the bucket fills."""
 
 MAX_SPEND_RATE_MULTIPLE = 5.0
-"""All gateways together are expected to spend at most this multiple of the quota's rate: a total that was
-read stays fresh for as long as they would need to spend what it left."""
+"""Expected upper limit of the rate at which all gateways together spend a quota, as a multiple of its rate. A
+total that was read stays fresh for the time in which they would spend the rest of the quota at this rate."""
 
 
 class Lease:
@@ -51,10 +54,10 @@
         self.plan = plan
         self.largest_cost = largest_cost
         self.fair_share = 1 / max(1, event.gateway_set_size)
-        self.share = self.fair_share  # of quota and burst
+        self.share = self.fair_share  # fraction of the quota and of the burst
         self.tokens = max(largest_cost, plan.burst * self.fair_share)
-        # A hard limit must hold across a restart, and this process does not know what the one before it
-        # forwarded: the share is counted as empty at the start, so that it can't be spent twice.
+        # A hard limit must hold across a restart, but this process does not know what the previous one
+        # forwarded. The share therefore counts as empty at the start, so that it cannot be spent twice.
         self.hard_limit_tokens = uptime_ms / 1000 * plan.hard_limit_rate * self.fair_share
         self.refilled_at = now
         self.retention_ms = max(LEASE_MS, plan.hard_limit_burst / max(plan.hard_limit_rate, 1e-9) * 1000)
@@ -67,20 +70,22 @@
             else None
         )
         fill_ms = plan.burst / max(plan.rate, 1e-9) * 1000
-        self.period_ms = min(LEASE_MS, max(REFRESH_INTERVAL_MS, fill_ms))  # an empty burst is full after it
+        self.period_ms = min(
+            LEASE_MS, max(REFRESH_INTERVAL_MS, fill_ms)
+        )  # time in which an empty bucket fills
         self.expires_at = now + LEASE_MS
         self.fresh_until = now
-        self.empty_until = self.likely_empty_until = now  # of the shared bucket, as last read
-        self.local_demand = self.total_demand = 0.0  # recent units, here and at all gateways; they decay
+        self.empty_until = self.likely_empty_until = now  # from the last read of the shared bucket
+        self.local_demand = self.total_demand = 0.0  # recent units here and at all gateways; they decay
         self.demand_updated_at = now
-        self.last_period, self.last_total = -1, 0.0  # of the counter, as last read
+        self.last_period, self.last_total = -1, 0.0  # as of the counter's last response
         self.in_flight = 0
-        self.unreported_usage = 0.0  # units; negative where more was reported than spent
+        self.unreported_usage = 0.0  # units; negative if more was reported than spent
         self.has_report_timer = False
 
     @property
     def total_lifetime_ms(self) -> float:
-        """How long the counter keeps a total of the customer, from its first call."""
+        """How long the counter keeps a total of the customer, counted from its first call."""
         return TOTAL_RETENTION_MS if self.shared_bucket else RETAINED_PERIODS * self.period_ms
 
     def refill(self, now: float) -> None:
@@ -96,7 +101,7 @@
         self.hard_limit_tokens = min(plan.hard_limit_burst * self.fair_share, self.hard_limit_tokens + earned)
 
     def spend(self, cost: float) -> None:
-        """Take a forwarded request's tokens; one beyond the quota takes none of the quota's."""
+        """Take a forwarded request's tokens; a request beyond the quota takes only hard-limit tokens."""
         if 0 < cost <= self.tokens:
             self.tokens -= cost
         self.hard_limit_tokens -= cost
@@ -106,21 +111,21 @@
         self.in_flight += 1
 
     def end_attempt(self) -> None:
-        """Count an attempt that is no longer in flight."""
+        """Stop counting an attempt as in flight."""
         self.in_flight -= 1
 
     def record_usage(self, units: float, already_reported: float = 0.0) -> None:
-        """Add units to the next report, less what the counter already holds of them."""
+        """Add units to the next report, less those that the counter already holds."""
         self.unreported_usage = self.unreported_usage + units - already_reported
 
     def take_unreported_usage(self) -> float:
-        """The units for a report that is being made; each is reported once."""
+        """Return the unreported units and reset them to 0, so that each unit is reported once."""
         units = self.unreported_usage
         self.unreported_usage = 0.0
         return units
 
     def claim_report_timer(self) -> bool:
-        """Whether a timer has to be set for a report of shared usage; at most one is set at a time."""
+        """Return whether a timer must be set for a report of shared usage; at most one is set at a time."""
         has_usage = self.shared_bucket is not None and abs(self.unreported_usage) >= MIN_REPORT_UNITS
         if not has_usage or self.has_report_timer:
             return False
@@ -128,18 +133,18 @@
         return True
 
     def release_report_timer(self) -> None:
-        """Note that the timer for a report has fired."""
+        """Allow the next timer for a report, because the last one has fired."""
         self.has_report_timer = False
 
     def begin_refresh(self, now: float) -> None:
-        """Make no further refresh for a while, whether this one gets a response or not."""
+        """Delay the next refresh by the minimum interval, whether or not this one gets a response."""
         self.fresh_until = now + REFRESH_INTERVAL_MS
 
     def resize(self, now: float, period: int, added_units: float, total: float) -> None:
-        """Resize a lease that is spent locally by a period's total; this gateway added `added_units` to it.
+        """Resize a locally spent lease by a period's total, to which this gateway added `added_units`.
 
         The total holds the demand at all gateways and the debt carried over. The share follows this gateway's
-        part of the recent demand, and the local bucket gets the share of what remains of the quota.
+        fraction of the recent demand, and the local bucket gets that share of what remains of the quota.
         """
         previous_total = self.last_total
         is_same_period = period == self.last_period
@@ -147,12 +152,12 @@
         self.demand_updated_at = now
         self._record_total(now, period, total)
         if is_same_period and total < previous_total - TOTAL_TOLERANCE:
-            return  # the counter has lost its totals: this one does not show the demand
+            return  # the counter has lost its totals, so this total does not show the demand
         if is_same_period:
             self.local_demand = self.local_demand * decay + added_units
             self.total_demand = self.total_demand * decay + max(added_units, total - previous_total)
         rate = self.plan.rate
-        accrued = max(0.0, rate * (now - period * self.period_ms) / 1000)  # under 0 by rounding only
+        accrued = max(0.0, rate * (now - period * self.period_ms) / 1000)  # rounding could make it negative
         remaining = accrued - (total - self.plan.burst)
         utilization = min(1.0, self.total_demand * 1000 / DEMAND_TIME_CONSTANT_MS / rate)
         self.share = self.fair_share
@@ -163,17 +168,17 @@
         self.fresh_until = now + max(REFRESH_INTERVAL_MS, fresh_ms)
 
     def accept_total(self, now: float, period: int, total: float, tolerance: float) -> bool:
-        """Record a total of the shared bucket; false if the last level has to stand.
+        """Record a total of the shared bucket; return False if the previous level must be kept.
 
-        A total that is lower than the last one of its period, beyond the tolerance, shows that the counter
-        has lost its totals; taken for the level, it would grant the complete burst again.
+        A total that is lower than the previous one of its period by the tolerance or more shows that the
+        counter has lost its totals; a level computed from it would grant the complete burst again.
         """
         is_accepted = period != self.last_period or total > self.last_total - tolerance
         self._record_total(now, period, total)
         return is_accepted
 
     def set_level(self, now: float, bucket: SharedTokenBucket, level: float, cost: float) -> None:
-        """Take the shared bucket's level, as read for a request of a cost."""
+        """Set the shared bucket's level, as read for a request of the given cost."""
         self.tokens = level
         self.share = max(self.fair_share, level / max(bucket.burst, 1e-9))
         self.empty_until = now + bucket.refill_time_ms(cost - level)
@@ -198,18 +203,18 @@
         self.started_at = self.swept_at = 0.0
 
     def start(self, now: float) -> None:
-        """Begin with the first event."""
+        """Set the start time, which is that of the first event."""
         self.started_at = self.swept_at = now
 
     def lease_for(self, now: float, event: RequestArrived) -> Lease:
-        """The lease of a request's customer, refilled, or a new one."""
+        """Return the refilled lease of a request's customer; create it if there is none."""
         if now - self.swept_at > LEASE_MS:
             self._evict_idle_leases(now)
         lease = self.by_customer.get(event.customer)
         if lease is None:
             lease = Lease(
                 event,
-                plan=self.plans.get(event.plan) or Plan(event.plan),  # an unknown plan has no quota to keep
+                plan=self.plans.get(event.plan) or Plan(event.plan),  # an unknown plan has no quota
                 largest_cost=self.settings.max_request_cost,
                 uptime_ms=now - self.started_at,
                 now=now,
@@ -219,7 +224,7 @@
         return lease
 
     def _evict_idle_leases(self, now: float) -> None:
-        """Forget customers without an attempt in flight or a request within their retention time."""
+        """Remove leases that have no attempt in flight and had no request within their retention time."""
         active = [
             lease
             for lease in self.by_customer.values()
--- a/gateway/policy/quota_counter.py
+++ b/gateway/policy/quota_counter.py
@@ -1,4 +1,4 @@
-"""This gateway's use of the counter service: the parts that call it, and what each response leads to."""
+"""The gateway's client of the counter service: the components that call it, and the handling of responses."""
 
 from .actions import Actions
 from .counter_calls import (
@@ -22,7 +22,7 @@
 
 
 class QuotaCounterClient:
-    """Passes each response of the counter to the part that made the call."""
+    """Passes each response of the counter to the component that made the call."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         self.usage_reporter = UsageReporter(settings, self.calls, throttle)
 
     def on_response(self, now: float, response: CounterResponse, actions: Actions) -> PendingRequest | None:
-        """Handle a response; returns the request that has waited for it and can be decided now."""
+        """Handle a response; return the request that waited for it and can now be decided."""
         call = self.calls.take(response)
         if call is None:
             return None
@@ -49,7 +49,7 @@
         if lease is None:
             return None
         request = self._waiting_request(call)
-        if response.outcome in NOT_PROCESSED:  # a call that timed out may have been processed
+        if response.outcome in NOT_PROCESSED:  # not a time-out, after which it may have been processed
             self.usage_reporter.restore(call, lease, request)
         if response.outcome is not Outcome.OK:
             return request
@@ -72,12 +72,12 @@
         return None
 
     def on_report_timer(self, now: float, customer: str, actions: Actions) -> None:
-        """Report a customer's usage, if the customer is still known."""
+        """Report a customer's usage, if the customer still has a lease."""
         if lease := self.leases.by_customer.get(customer):
             self.usage_reporter.on_report_timer(now, lease, actions)
 
     def _waiting_request(self, call: CounterCall) -> PendingRequest | None:
-        """The request that still waits for a call; None once it has been forwarded or finished."""
+        """Return the request that still waits for a call; None if it was forwarded or is finished."""
         if not isinstance(call, ReadSharedBucket | ReadBucketDebt):
             return None
         request = self.requests.get(call.request_id)
--- a/gateway/policy/shared_bucket.py
+++ b/gateway/policy/shared_bucket.py
@@ -1,60 +1,63 @@
 """A customer's token bucket that many gateways share, kept as one total on the counter service.
 
 A token bucket holds up to `burst` units and gains `rate` units a second. The counter service only adds
-numbers up, so the bucket is kept as a total for each period of time: the units spent in it, and the debt
-carried over from the period before. The level follows from that total and the time alone, so one call both
-spends units and reads it.
+numbers up, so the bucket is kept as a total for each period of time: the units spent in the period, plus the
+debt carried over from the previous one. The bucket's level follows from that total and the time alone, so one
+call both spends units and reads the level.
 """
 
 import hashlib
 from dataclasses import dataclass
 
 PERIOD_MS = 15_000.0
-"""Length of a period: the counter keeps a total for a minute, and the period before has to be read, too."""
+"""Length of a period. The counter keeps a total for a minute, and it is read in the next period, too."""
 
 RETAINED_PERIODS = 4
-"""Periods for which the counter keeps a total."""
+"""Number of periods for which the counter keeps a total."""
 
 TOTAL_RETENTION_MS = RETAINED_PERIODS * PERIOD_MS
-"""How long the counter keeps a total, from its first call."""
+"""How long the counter keeps a total, counted from its first call."""
 
 
 def counter_key(customer: str) -> str:
-    """The customer's part of the counter's names, the same at all gateways; customers' own may be long."""
+    """Return the hash that stands for a customer in the counter's names, the same at all gateways.
+
+    Customers' own names may be long.
+    """
     return hashlib.blake2b(customer.encode(), digest_size=16).hexdigest()
 
 
 @dataclass(frozen=True, slots=True)
 class SharedTokenBucket:
-    """The token bucket of one customer; `now` is milliseconds on the policy's clock."""
+    """The token bucket of one customer; `now` is the time of the policy's clock in milliseconds."""
 
     offset_ms: float
-    """Milliseconds by which its periods begin early: if all customers' began at once, so would the calls that
-    carry debts over."""
+    """Milliseconds by which the customer's periods begin early. If all customers' periods began at once, all
+    calls that carry debts over would be made at once, too."""
     rate: float
-    """Units a second."""
+    """Units gained per second."""
     burst: float
-    """Units."""
+    """Units that the bucket holds at most."""
 
     @classmethod
     def for_customer(cls, customer: str, rate: float, burst: float) -> "SharedTokenBucket":
-        """The bucket of a customer, the same at all gateways."""
+        """Return the bucket of a customer, the same at all gateways."""
         offset_ms = int(counter_key(customer)[:8], 16) % int(PERIOD_MS)
         return cls(float(offset_ms), rate, burst)
 
     def period(self, now: float) -> int:
-        """The number of the present period."""
+        """Return the number of the current period."""
         return int((now + self.offset_ms) // PERIOD_MS)
 
     def level(self, now: float, period: int, spent: float) -> float:
-        """Units held; over the burst where the customer was idle, which fills a real bucket no further."""
+        """Return the units held; idle time raises them above the burst, where a real bucket stops filling."""
         accrued = self.rate * max(0.0, now + self.offset_ms - period * PERIOD_MS) / 1000
         return self.burst + accrued - spent
 
     def debt(self, spent: float) -> float:
-        """Units spent in a complete period beyond what it accrued, carried over to the next one."""
+        """Return the units spent in a complete period beyond those accrued, to carry over to the next one."""
         return min(self.burst, max(0.0, spent - self.rate * PERIOD_MS / 1000))
 
     def refill_time_ms(self, units: float) -> float:
-        """Milliseconds in which the bucket accrues so many units."""
+        """Return the time in milliseconds in which the bucket accrues the given units."""
         return max(0.0, units) * 1000 / max(self.rate, 1e-9)
--- a/gateway/policy/shared_bucket_reads.py
+++ b/gateway/policy/shared_bucket_reads.py
@@ -1,7 +1,7 @@
-"""Reading and correcting the token buckets that many gateways share.
+"""Reads and corrects the token buckets that many gateways share.
 
 A customer whose quota is too small to be divided among its gateways has one bucket, kept as a total on the
-counter service (`SharedTokenBucket`). A request that needs it waits while it is read.
+counter service (`SharedTokenBucket`). A request that needs the bucket waits while it is read.
 """
 
 from .actions import Actions
@@ -21,10 +21,10 @@
 
 MAX_RELATIVE_DEVIATION = 0.5
 """Fraction of the burst by which a level may be out of bounds before the total is corrected, and fraction of
-a correction by which the total after it may exceed the expected one before the correction is undone."""
+a correction by which the resulting total may overshoot the expected one before the correction is undone."""
 
 MAX_READ_WAIT_IN_TIMEOUTS = 2
-"""Call time-outs of the counter that a request waits for its read at most: it may need a second call."""
+"""Longest wait of a request for its read, in time-outs of a counter call; a read may need a second call."""
 
 
 class SharedBucketReader:
@@ -36,21 +36,23 @@
         self.throttle = throttle
 
     def read(self, now: float, request: PendingRequest, actions: Actions) -> bool:
-        """Read the shared bucket for a request that needs it; true if the request waits for the response.
+        """Read the shared bucket for a request that needs it; return whether the request waits for the read.
 
-        The call spends the tokens at once and a rejection gives them back, so that two gateways that call at
-        the same time don't both get the last token. Where a rejection is likely, the call only reads.
+        The call spends the request's tokens at once and a rejection gives them back, so that two gateways
+        that call at the same time do not both get the last token. If a rejection is likely, the call only
+        reads.
 
-        Client-side throttling: an overloaded counter can't handle a call for each request, and customers far
-        beyond their quotas send most of them. Such requests are rejected without a read, or admitted where
-        the plan loses nothing beyond its quota; the bucket fills for the requests that are still read for.
+        Calls are throttled on the client side: an overloaded counter cannot handle a call for each request,
+        and customers far beyond their quotas send most requests. Their requests are rejected without a read,
+        or admitted if the plan loses nothing beyond its quota. Meanwhile the bucket refills for the requests
+        that still cause a read.
         """
         lease = request.lease
         bucket = lease.shared_bucket
         if bucket is None or not self.settings.counter_available or now < lease.empty_until:
             return False
         if now < lease.fresh_until and lease.tokens >= request.cost:
-            return False  # other gateways cannot have spent all of it since it was read
+            return False  # other gateways cannot have spent these tokens since the last read
         is_likely_over_quota = now < lease.likely_empty_until or request.is_retry
         if not self._permits_read(lease.plan, is_likely_over_quota=is_likely_over_quota):
             self._assume_shortfall(now, request, is_likely_over_quota=is_likely_over_quota)
@@ -69,7 +71,7 @@
     def on_total(
         self, now: float, request: PendingRequest, call: ReadSharedBucket, total: float, actions: Actions
     ) -> bool:
-        """Take the level of a bucket that was read; false if its debt has to be read before."""
+        """Set the level of a bucket that was read; return False if the previous debt must be read first."""
         if total <= call.units + TOTAL_TOLERANCE and self.throttle.permits_maintenance():
             lease = request.lease
             self.calls.send(lease, ReadBucketDebt(lease.customer, call.period - 1, request.id), actions)
@@ -80,7 +82,7 @@
     def on_debt_read(
         self, now: float, request: PendingRequest, call: ReadBucketDebt, total: float, actions: Actions
     ) -> None:
-        """Carry the debt of a period over to the next one, and take the level that this leaves."""
+        """Carry the debt of a period over to the next one, and set the resulting level."""
         lease = request.lease
         if lease.shared_bucket is None:
             return
@@ -93,7 +95,7 @@
         self._update_level(now, request, period=period, total=total, actions=actions)
 
     def on_corrected(self, lease: Lease, call: CorrectTotal, total: float, actions: Actions) -> None:
-        """Undo a correction if another gateway has made it, too; one to an empty total is not checked."""
+        """Undo a correction that another gateway has made as well, unless its expected total is 0."""
         if not call.expected_total:
             return
         if (total - call.expected_total) / call.units > MAX_RELATIVE_DEVIATION:
@@ -101,7 +103,7 @@
             self.calls.send(lease, UndoCorrection(lease.customer, call.period, units), actions)
 
     def _permits_read(self, plan: Plan, *, is_likely_over_quota: bool) -> bool:
-        """Draw whether a bucket is read, by what a read may gain."""
+        """Decide at random whether to read a bucket, by the benefit of a read."""
         if plan.is_over_quota_free:
             exponent = ThrottleExponent.OVER_QUOTA_IS_FREE
         elif is_likely_over_quota:
@@ -111,7 +113,7 @@
         return self.throttle.permits(exponent)
 
     def _assume_shortfall(self, now: float, request: PendingRequest, *, is_likely_over_quota: bool) -> None:
-        """Assume what a request lacks where its bucket is not read; by default its lease decides."""
+        """Assume the token shortfall of a request whose bucket is not read; by default, its lease decides."""
         lease = request.lease
         if lease.plan.is_over_quota_free:
             if now >= lease.likely_empty_until:
@@ -122,7 +124,7 @@
     def _update_level(
         self, now: float, request: PendingRequest, period: int, total: float, actions: Actions
     ) -> None:
-        """Take a bucket's level for the request's lease; a total that no bucket can have is corrected."""
+        """Set the level of a request's lease from a total; correct a total that no real bucket could have."""
         lease = request.lease
         bucket = lease.shared_bucket
         if bucket is None or not lease.accept_total(now, period, total, max(bucket.burst, request.cost)):
--- a/gateway/policy/usage_reporting.py
+++ b/gateway/policy/usage_reporting.py
@@ -1,7 +1,7 @@
-"""Reporting what was spent of shared buckets to the counter service.
+"""Reports the usage of shared buckets to the counter service.
 
-A read of a shared bucket reports the usage that is known by then. What no read has reported is added by the
-next response's handler or, if none comes, by a timer.
+A read of a shared bucket also reports the usage that is known at that time. Usage that no read has reported
+is reported after the next response of the counter or, if none arrives, by a timer.
 """
 
 from .actions import Actions, SetTimer
@@ -14,8 +14,8 @@
 from .timers import TimerKind, TimerToken
 
 MIN_REPORTS_PER_BURST = 2.0
-"""Reports sent at least, on average, for a burst of requests of one unit: a report that is scaled up further
-would move a small bucket by more than it holds."""
+"""Minimum number of reports sent, on average, for a burst of requests of one unit each. A report that is
+scaled up further would change a small bucket by more than the bucket holds."""
 
 
 class UsageReporter:
@@ -34,20 +34,20 @@
         self._schedule_report(lease, actions)
 
     def refund(self, request: PendingRequest, actions: Actions) -> None:
-        """Take back what was reported of a request that ends without having been forwarded."""
+        """Refund the reported cost of a request that ends without having been forwarded."""
         if request.reported_cost and not request.attempt_count:
             request.lease.record_usage(0.0, request.replace_reported_cost(0.0))
             self._schedule_report(request.lease, actions)
 
     def restore(self, call: CounterCall, lease: Lease, request: PendingRequest | None) -> None:
-        """Keep the units of a call that the counter has not processed for the next report."""
+        """Add the units of a call that the counter has not processed to the next report."""
         reported_cost = request.replace_reported_cost(0.0) if request else 0.0
         lease.record_usage(call.units, reported_cost)
 
     def report(self, now: float, lease: Lease, bucket: SharedTokenBucket, actions: Actions) -> None:
-        """Add what was spent without being reported, or take off what was reported and not spent.
+        """Add the units that were spent but not reported, or subtract those reported but not spent.
 
-        Sampled reporting: a report is sent with a probability p and scaled by 1/p, so that totals stay
+        Reports are sampled: a report is sent with a probability p and scaled by 1/p, so that totals stay
         unbiased while an overloaded counter keeps its capacity for the reads that requests wait for.
         """
         units = lease.take_unreported_usage()
@@ -58,7 +58,7 @@
             self.calls.send(lease, ReportUsage(lease.customer, bucket.period(now), scaled_units), actions)
 
     def on_report_timer(self, now: float, lease: Lease, actions: Actions) -> None:
-        """Report a customer's usage, if no call has done so since the timer was set."""
+        """Report a customer's usage, if no call has reported it since the timer was set."""
         bucket = lease.shared_bucket
         if bucket is None:
             return
@@ -67,6 +67,6 @@
             self.report(now, lease, bucket, actions)
 
     def _schedule_report(self, lease: Lease, actions: Actions) -> None:
-        """Set a timer for a report, in case no call takes the usage along."""
+        """Set a timer for a report, in case no other call reports the usage earlier."""
         if self.settings.counter_available and lease.claim_report_timer():
             actions.append(SetTimer(REFRESH_INTERVAL_MS, TimerToken(TimerKind.USAGE_REPORT, lease.customer)))
