--- a/tests/policy/test_counter_throttle.py
+++ b/tests/policy/test_counter_throttle.py
@@ -1,4 +1,4 @@
-"""Client-side throttling of the calls to the counter, and the sampled reports under it."""
+"""Tests of the client-side throttling of counter calls, and of sampled reports while calls are throttled."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def count_counter_calls(harness: PolicyHarness, outcome: Outcome) -> int:
-    """Calls to the counter during a minute of steady requests, each of which ends with the outcome."""
+    """Return the number of counter calls in a minute of steady requests; each call gets the outcome."""
     call_count = 0
     for _ in range(1200):
         for call in counter_calls_in(harness.request()):
@@ -18,7 +18,7 @@
 
 
 def test_refreshes_become_rarer_while_the_counter_rejects_calls_and_recover(harness: PolicyHarness) -> None:
-    """Client-side throttling: the calls of all gateways must not prolong the counter's overload."""
+    """The calls of all gateways must not prolong the counter's overload."""
     call_count = count_counter_calls(harness, Outcome.OK)
 
     call_count_when_overloaded = count_counter_calls(harness, Outcome.QUEUE_FULL)
@@ -31,7 +31,7 @@
 
 
 def test_reports_to_an_overloaded_counter_still_add_up_to_the_demand(harness: PolicyHarness) -> None:
-    """Sampled reporting must stay unbiased: a total that is too low enlarges every lease."""
+    """Sampled reports must stay unbiased, because a total that is too low enlarges every lease."""
     request_count = 4000
     reported = 0.0
 
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -1,4 +1,4 @@
-"""Quotas and load shedding of many gateways together, in virtual time."""
+"""Tests of the quotas and load shedding of many gateways together, in virtual time."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class MeteredFleet(Fleet):
-    """A fleet that counts what one gateway for all customers would forward within their quotas."""
+    """A fleet that counts the units that one gateway for all customers would forward within their quotas."""
 
     def __init__(
         self,
@@ -37,22 +37,22 @@
         }
 
     def send_new_request(self, customer: Customer) -> None:
-        """Meter the customer's requests; retries don't count."""
+        """Count the request for the single gateway, then send it; retries are not counted."""
         self.units_within_quota += self._single_gateway_quotas[customer.name].take(self.now)
         super().send_new_request(customer)
 
     def forwarded_within_quota(self) -> float:
-        """Units forwarded within the quotas, as a fraction of what one gateway would forward."""
+        """Return the units forwarded within the quotas, relative to those that one gateway would forward."""
         forwarded = sum(self.counts[CountKey(FleetEvent.FORWARDED_WITHIN_QUOTA, plan)] for plan in self.plans)
         return forwarded / self.units_within_quota
 
     def forwarded_beyond_quota(self) -> float:
-        """Units forwarded beyond the quotas, as a fraction of the same."""
+        """Return the units forwarded beyond the quotas, relative to those that one gateway would forward."""
         forwarded = sum(self.counts[CountKey(FleetEvent.FORWARDED_BEYOND_QUOTA, plan)] for plan in self.plans)
         return forwarded / self.units_within_quota
 
     def over_quota_cost(self) -> float:
-        """The cost of the units forwarded beyond the quotas, for each unit that one gateway would forward."""
+        """Return the cost of units forwarded beyond the quotas, per unit that one gateway would forward."""
         cost = sum(
             self.counts[CountKey(FleetEvent.FORWARDED_BEYOND_QUOTA, plan.name)] * plan.over_quota_cost
             for plan in self.plans.values()
@@ -61,7 +61,7 @@
 
 
 def create_gateway_set(rng: random.Random, gateway_count: int, smallest_set: int) -> list[int]:
-    """Neighbouring gateways in random order, from a random first one on."""
+    """Return adjacent gateways from a random first one on, in random order."""
     start = rng.randrange(gateway_count)
     size = rng.randint(smallest_set, gateway_count)
     gateways = [(start + offset) % gateway_count for offset in range(size)]
@@ -70,7 +70,10 @@
 
 
 def create_customers(seed: int = 5, small_count: int = 90, large_count: int = 20) -> list[Customer]:
-    """Most use a part of their quota, some nearly all of it, and one in eight four times as much."""
+    """Create customers of which one in eight uses four times its quota and two in eight nearly all of it.
+
+    The others use a part of it.
+    """
     rng = random.Random(seed)
     customers = []
     for number in range(small_count + large_count):
@@ -87,7 +90,7 @@
 
 
 def simulate_small_quotas(counter_calls_per_s: float) -> MeteredFleet:
-    """Twenty seconds of customers whose quotas are thinner than their gateway sets."""
+    """Simulate 20 seconds of customers whose quotas are too small to be divided among their gateways."""
     conditions = Conditions(counter_calls_per_s=counter_calls_per_s, client_retries=2)
     fleet = MeteredFleet(GATEWAY_COUNT, create_customers(), conditions, max_retry_after_ms=1000.0)
     fleet.play(20)
@@ -95,7 +98,7 @@
 
 
 def test_quotas_too_small_to_divide_hold_by_the_shared_total() -> None:
-    """Rejected units must not count as spent: a customer would be rejected while its bucket is full."""
+    """If rejected units counted as spent, a customer would be rejected while its bucket is full."""
     fleet = simulate_small_quotas(counter_calls_per_s=2_000)
 
     assert fleet.forwarded_within_quota() > 0.95
@@ -111,22 +114,23 @@
 
 
 FULL_SIZE_GATEWAY_COUNT = 180
-"""Gateways of a fleet of full size."""
+"""Number of gateways in a fleet of full size."""
 LOW_RATE = Plan("thin", rate=0.8, burst=4, over_quota_cost=1.2)
 HIGH_RATE = Plan("wide", rate=4.2, burst=8, over_quota_cost=0.8)
 REFERENCE_DELAY_MS = 100.0
-"""Less than any endpoint list or meter takes to report, and so a strict measure."""
+"""Delay with which the reference sees a quota's state. Any endpoint list or meter takes longer to report, so
+the reference is a strict measure."""
 
 
 class TimedTokens(NamedTuple):
-    """The tokens that a quota held at a time."""
+    """The tokens that a quota held at a point in time."""
 
     at: float
     tokens: float
 
 
 class DelayedReference:
-    """A reference policy that knows the true state of a customer's quota, a short delay late."""
+    """A reference policy that knows the true state of a customer's quota, but with a short delay."""
 
     def __init__(self, plan: Plan, now: float) -> None:
         self._plan = plan
@@ -134,7 +138,7 @@
         self._history = deque([TimedTokens(now, plan.burst)])
 
     def over_quota_cost(self, now: float) -> float:
-        """The cost of a request that arrives now: positive if it is forwarded beyond the quota."""
+        """Return the cost of a request that arrives now; positive if it is forwarded beyond the quota."""
         if self._visible_tokens(now) < 1:
             return 0.0
         is_within_quota = self._quota.take(now)
@@ -151,7 +155,7 @@
 
 
 class FullSizeFleet(MeteredFleet):
-    """Also adds up what the delayed reference pays for the same requests."""
+    """A fleet of full size that also adds up what the delayed reference pays for the same requests."""
 
     def __init__(self, customers: list[Customer], conditions: Conditions) -> None:
         super().__init__(FULL_SIZE_GATEWAY_COUNT, customers, conditions)
@@ -161,23 +165,26 @@
         self._reference_cost = 0.0
 
     def send_new_request(self, customer: Customer) -> None:
-        """Let the reference decide on it too."""
+        """Let the delayed reference decide on the request, too."""
         self._reference_cost += self._delayed_references[customer.name].over_quota_cost(self.now)
         super().send_new_request(customer)
 
     def reference_over_quota_cost(self) -> float:
-        """As `over_quota_cost`, of the delayed reference."""
+        """Return the cost that the delayed reference pays, in the unit of `over_quota_cost`."""
         return self._reference_cost / self.units_within_quota
 
     def timely_counter_responses(self) -> float:
-        """The fraction of counter calls that got their response in time."""
+        """Return the fraction of counter calls that got their response in time."""
         handled = self.counts[CountKey(FleetEvent.COUNTER_CALL_HANDLED)]
         called = handled + self.counts[CountKey(FleetEvent.COUNTER_CALL_REJECTED)]
         return (handled - self.counts[CountKey(FleetEvent.COUNTER_CALL_TIMED_OUT)]) / called
 
 
 def create_full_size_customers(seed: int) -> list[Customer]:
-    """One in nine uses about four times its quota, one in six about all of it, the others a part."""
+    """Create customers of which one in nine uses about four times its quota and one in six about all of it.
+
+    The others use a part of it.
+    """
     rng = random.Random(seed)
     customers = []
     for number in range(560):
@@ -196,11 +203,11 @@
 
 
 def simulate_full_size(counter_calls_per_s: float, seed: int = 3) -> FullSizeFleet:
-    """Ten seconds of a fleet without faults whose counter responds late when it is overloaded."""
+    """Simulate ten seconds of a fleet without faults whose counter responds late when it is overloaded."""
     conditions = Conditions(
         seed=seed,
         counter_calls_per_s=counter_calls_per_s,
-        counter_queue_length=round(counter_calls_per_s / 10),  # the calls of 100 ms
+        counter_queue_length=round(counter_calls_per_s / 10),  # the calls that it handles in 100 ms
         counter_timeout_ms=50.0,
         latency_ms=exponential_latency(150),
     )
@@ -218,7 +225,7 @@
 
 
 def test_a_fleet_of_full_size_does_not_prolong_the_overload_of_its_counter() -> None:
-    """Once its queue takes longer than the time-out, the counter handles calls that no gateway waits for."""
+    """Once calls queue for longer than the time-out, the counter handles calls that no gateway waits for."""
     fleet = simulate_full_size(counter_calls_per_s=500)  # less than one call for each request
 
     assert fleet.forwarded_within_quota() > 0.87
@@ -230,7 +237,7 @@
 
 
 def simulate_without_quotas(latency_ms: Callable[[random.Random, int], float]) -> Fleet:
-    """Thirty seconds of gateways that get six requests a second each."""
+    """Simulate 30 seconds of gateways that get six requests a second each."""
     customers = [Customer(f"c{index}", FREE, rate=6.0, gateways=[index]) for index in range(GATEWAY_COUNT)]
     fleet = Fleet(GATEWAY_COUNT, customers, Conditions(latency_ms=latency_ms), counter_available=False)
     fleet.play(30)
@@ -248,7 +255,7 @@
 
 
 def test_few_requests_in_flight_at_slow_backends_are_shed() -> None:
-    """No gateway of a large fleet sees a queue of its own, though the requests of all of them wait in one."""
+    """No gateway of a large fleet sees a queue of its own, though the requests of all gateways share one."""
     fleet = simulate_without_quotas(lambda _rng, _backend_id: 1_500.0)
 
     requested = fleet.counts[CountKey(FleetEvent.REQUESTED, FREE.name)]
@@ -258,7 +265,7 @@
 
 @pytest.mark.parametrize("request_count", [1, 2])
 def test_idle_time_beyond_a_full_bucket_is_taken_off_the_total_once(request_count: int) -> None:
-    """Corrected by two gateways at once, the total would leave a calm customer in debt."""
+    """If two gateways both corrected the total, a customer within its quota would be left in debt."""
     customer = Customer("calm", LARGE, 0.2, list(range(30)))
     fleet = Fleet(GATEWAY_COUNT, [customer], Conditions(seed=3), max_retry_after_ms=1000.0)
     fleet.send_request(customer)
--- a/tests/policy/test_lease_refresh.py
+++ b/tests/policy/test_lease_refresh.py
@@ -1,4 +1,4 @@
-"""The refresh of leases that are spent locally: what is reported, and what the total makes of a lease."""
+"""Tests of the refresh of locally spent leases: what is reported, and how a total resizes a lease."""
 
 from __future__ import annotations
 
@@ -18,7 +18,10 @@
 
 
 def refresh_for_five_seconds(harness: PolicyHarness) -> list[TimedAction]:
-    """The counter calls of a hundred requests, each answered with a total far beyond the quota."""
+    """Send a hundred requests and answer their counter calls with totals far beyond the quota.
+
+    Returns the calls.
+    """
     calls = []
     for _ in range(100):
         for call in counter_calls_in(harness.request()):
@@ -54,7 +57,7 @@
     total_at_period_start = 50.0
     total = total_at_period_start
 
-    for _ in range(60):  # ten a second here, forty at all gateways: far beyond the quota of two
+    for _ in range(60):  # 10 requests a second here, 40 at all gateways, far beyond the quota of 2
         for call in counter_calls_in(harness.request()):
             total += 4 * call.amount
             harness.respond_to_counter(call, total)
@@ -83,7 +86,7 @@
 
 
 def test_a_counter_that_lost_its_totals_does_not_change_the_lease(harness: PolicyHarness) -> None:
-    """A total that fell within its period is no sign of low demand: the lease stands until a new period."""
+    """A total that falls within its period does not show low demand: the lease is kept until a new period."""
     call = only_counter_call_in(harness.request())
     harness.respond_to_counter(call, 30.0)
     lease = harness.lease()
@@ -99,7 +102,7 @@
 
 
 def test_a_total_read_just_before_its_period_starts_leaves_no_negative_tokens(harness: PolicyHarness) -> None:
-    """Rounding may place the start of a period just after the present time."""
+    """Because of rounding, the start of a period may be just after the current time."""
     harness.request()
     lease = harness.lease()
 
@@ -118,7 +121,7 @@
     assert read_of_previous.amount == 0
     assert read_of_previous.name != first_call.name
 
-    harness.respond_to_counter(read_of_previous, 11.0)  # 8 units were earned in that period
+    harness.respond_to_counter(read_of_previous, 11.0)  # 8 units accrued in that period
 
     carry_over = harness.log[-1].action
     assert isinstance(carry_over, IncrementCounter)
--- a/tests/policy/test_leases.py
+++ b/tests/policy/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases that are spent locally, and the limits that are split over the gateways of a customer."""
+"""Tests of leases that are spent locally, and of limits that are split among a customer's gateways."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 def count_forwarded(
     harness: PolicyHarness, request_count: int, *, pause_ms: float = 0.0, plan: str = BASIC.name
 ) -> int:
-    """The number of requests forwarded of so many that arrive, each of which is answered at once."""
+    """Send requests, each of which is answered at once; return how many are forwarded."""
     forwarded = 0
     for _ in range(request_count):
         for attempt in attempts_in(harness.request(plan=plan)):
@@ -96,7 +96,7 @@
 
 
 def test_a_hard_limit_is_split_evenly_and_starts_empty(harness: PolicyHarness) -> None:
-    """A full bucket after each restart would let a gateway spend the hard limit's burst twice."""
+    """If the bucket were full after each restart, a gateway could spend the hard limit's burst twice."""
     assert not attempts_in(harness.request(plan=FIRM.name))
 
     harness.pass_time(1000)
@@ -127,7 +127,7 @@
     harness = PolicyHarness(counter_available=False)
     for number in range(60):
         harness.request(customer=f"customer {number}")
-    harness.set_response_rate(20.0)  # three seconds' responses are in flight
+    harness.set_response_rate(20.0)  # the 60 requests in flight take three seconds to be answered
 
     forwarded = count_forwarded(harness, 30, plan=BONUS.name)
 
--- a/tests/policy/test_shared_bucket.py
+++ b/tests/policy/test_shared_bucket.py
@@ -1,4 +1,4 @@
-"""The token bucket that all gateways share as one total on the counter."""
+"""Tests of the token bucket that all gateways share as one total on the counter."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_shared_bucket_reads.py
+++ b/tests/policy/test_shared_bucket_reads.py
@@ -1,4 +1,4 @@
-"""Requests on sparse leases: when the shared bucket is read, and what is decided without a read."""
+"""Tests of requests that need a shared bucket: when it is read, and how they are decided without a read."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from tests.support.policy_settings import BONUS
 
 SHARED_BUCKET_SET_SIZE = 100
-"""Gateways of a set over which the burst of 8 is too thin to be spent locally."""
+"""Number of gateways among which the burst of 8 is too small to be spent locally."""
 
 
 @pytest.mark.parametrize(
@@ -25,7 +25,7 @@
 def test_a_request_that_needs_the_shared_bucket_waits_until_it_is_read(
     harness: PolicyHarness, total: float, attempt_count: int, rejection_count: int
 ) -> None:
-    """Local buckets of one unit at each of a hundred gateways would admit a hundred units in all."""
+    """Local buckets of one unit at each of a hundred gateways would admit a hundred units in total."""
     actions = harness.request(gateway_set_size=SHARED_BUCKET_SET_SIZE)
     call = only_counter_call_in(actions)
     assert not attempts_in(actions)
@@ -46,7 +46,7 @@
 
 
 def serve_with_shared_counter(harness: PolicyHarness, customer: str, totals: dict[str, float]) -> int:
-    """Serve a request to its end, with a counter that responds at once; returns the attempts it took."""
+    """Serve a request to its end with a counter that responds at once; return the number of its attempts."""
     attempt_count = 0
     pending = harness.request(customer=customer, gateway_set_size=120)
     while pending:
@@ -61,14 +61,14 @@
 
 
 def test_many_gateways_hold_a_flooding_customer_to_its_quota_and_admit_a_calm_one() -> None:
-    """With hundreds of gateways the fair share of a burst is less than one request."""
+    """With more than a hundred gateways, the fair share of a burst is less than one request."""
     harnesses = [PolicyHarness(seed=index, gateway_count=120, gateway_index=index) for index in range(120)]
     start = harnesses[0].now
     totals: dict[str, float] = {}
     calm_forwarded = 0
     flood_forwarded = 0
 
-    for step in range(600):  # one minute: ten requests a second against a quota of two, and one a second
+    for step in range(600):  # a minute: 10 requests a second against a quota of 2, and 1 a second within it
         harness = harnesses[step * 37 % 120]
         harness.pass_time(start + step * 100 - harness.now)
         flood_forwarded += serve_with_shared_counter(harness, "flood", totals)
@@ -80,9 +80,9 @@
 
 
 def count_reads_after_empty(idle_ms: float) -> int:
-    """How many of forty policies read a bucket again, so long after it was read as empty.
+    """Return how many of 40 policies read a bucket again, `idle_ms` after it was read as empty.
 
-    The burst of 8 units at two a second takes four seconds to fill.
+    The burst of 8 units takes four seconds to fill at two units a second.
     """
     read_count = 0
     for seed in range(40):
@@ -107,7 +107,10 @@
 def test_a_plan_that_loses_nothing_beyond_its_quota_is_served_without_a_counter_call(
     harness: PolicyHarness,
 ) -> None:
-    """Such a call would load the counter without a gain; without a default the customer would be rejected."""
+    """Such a call would load the counter without a benefit.
+
+    Without a default for requests whose bucket is not read, the customer would be rejected.
+    """
     call_count = 0
     forwarded = 0
     for _ in range(20):  # in flight, so that capacity is neither spare nor scarce
