--- a/gateway/policy/shared_bucket.py
+++ b/gateway/policy/shared_bucket.py
@@ -1,4 +1,4 @@
-"""A customer's token bucket that many gateways share, kept as one total on the counter service.
+"""A customer's token bucket that many gateways share, kept as totals on the counter service.
 
 A token bucket holds up to `burst` units and gains `rate` units a second. The counter service only adds
 numbers up, so the bucket is kept as a total for each period of time: the units spent in the period, plus the
@@ -22,7 +22,7 @@
 def counter_key(customer: str) -> str:
     """Return the hash that stands for a customer in the counter's names, the same at all gateways.
 
-    Customers' own names may be long.
+    A hash is used because customers' own names may be long.
     """
     return hashlib.blake2b(customer.encode(), digest_size=16).hexdigest()
 
