--- a/gateway/policy/leases.py
+++ b/gateway/policy/leases.py
@@ -70,9 +70,8 @@
             else None
         )
         fill_ms = plan.burst / max(plan.rate, 1e-9) * 1000
-        self.period_ms = min(
-            LEASE_MS, max(REFRESH_INTERVAL_MS, fill_ms)
-        )  # time in which an empty bucket fills
+        # An empty bucket fills in one period, unless the limits of its length apply.
+        self.period_ms = min(LEASE_MS, max(REFRESH_INTERVAL_MS, fill_ms))
         self.expires_at = now + LEASE_MS
         self.fresh_until = now
         self.empty_until = self.likely_empty_until = now  # from the last read of the shared bucket
