--- a/gateway/policy/admission.py
+++ b/gateway/policy/admission.py
@@ -109,7 +109,7 @@
         lease = request.lease
         if lease.shared_bucket:
             # Without jitter, all requests that are rejected now would be retried for the same token.
-            return lease.shared_bucket.wait(shortfall + request.cost * self.rng.random())
+            return lease.shared_bucket.refill_time_ms(shortfall + request.cost * self.rng.random())
         return shortfall * 1000 / max(lease.plan.rate * lease.share, 1e-9)
 
     def retry_after(self, request: PendingRequest, quota_wait_ms: float) -> float:
