--- a/scale/control.py
+++ b/scale/control.py
@@ -38,7 +38,7 @@
         Raises:
             RunError: a process failed.
         """
-        result = Result.begin("control", self)
+        result = Result.create("control", self)
         cases = [
             ControlCase(program=program, list_size=size, figures=ControlFigures(), result=result)
             for size in self.list_sizes
--- a/scale/environment.py
+++ b/scale/environment.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from .customers import CustomerPopulation
-from .figures import LaunchedGatewayFigures, LoadSummary
+from .figures import LaunchedGatewayInfo, LoadSummary
 from .gateway_configuration import gateway_config
 from .result import Result
 from .supervisor import Supervisor, WorkerProcess
@@ -84,10 +84,10 @@
 
     async def launch_gateways(
         self, program: str, configs: Sequence[dict[str, Any]]
-    ) -> list[LaunchedGatewayFigures]:
+    ) -> list[LaunchedGatewayInfo]:
         """Start a real gateway of a checkout for each configuration."""
         self.launcher = await self.supervisor.start("launcher")
-        launched: list[LaunchedGatewayFigures] = await self.launcher.call(
+        launched: list[LaunchedGatewayInfo] = await self.launcher.call(
             "start", checkout=str(Path(program)), configs=configs, timeout_s=START_TIMEOUT_S
         )
         return launched
@@ -123,7 +123,7 @@
             figures = await worker.call("read")
             lag = figures.pop("lag")
             service = next(iter(figures), "clients")
-            result.note_lag(f"{service}, {phase}", lag)
+            result.record_lag(f"{service}, {phase}", lag)
             counts.update(figures)
         if self.launcher is not None:
             await self.launcher.call("check")
--- a/scale/fakes/worker.py
+++ b/scale/fakes/worker.py
@@ -8,7 +8,7 @@
 
 from scale.errors import RunError
 from scale.figures import Announcement
-from scale.histogram import LagMeter
+from scale.histogram import TimerLagMeter
 
 from .backends import start_backends
 from .counter import start_counter
@@ -25,7 +25,7 @@
     def __init__(self) -> None:
         self._services: dict[str, FakeService] = {}
         self._started_discovery: FakeDiscovery | None = None
-        self._lag = LagMeter()
+        self._lag = TimerLagMeter()
 
     @property
     def _discovery(self) -> FakeDiscovery:
--- a/scale/figures.py
+++ b/scale/figures.py
@@ -35,14 +35,14 @@
     """The part of the latency that the gateway added to the backend's."""
 
 
-class LaunchedGatewayFigures(TypedDict):
+class LaunchedGatewayInfo(TypedDict):
     """A real gateway that listens."""
 
     pid: int
     port: int
 
 
-class HollowStartFigures(TypedDict):
+class HollowStartMemory(TypedDict):
     """Memory of a process before and after the start of its hollow gateways, in MB."""
 
     before_mb: float
--- a/scale/fleet.py
+++ b/scale/fleet.py
@@ -26,7 +26,7 @@
         Raises:
             RunError: a process failed.
         """
-        result = Result.begin("fleet", self)
+        result = Result.create("fleet", self)
         for program in self.programs:
             progress.print(
                 f"starting {self.hollow_gateways} hollow and {self.real_gateways} real gateways of {program}"
--- a/scale/fleet_run.py
+++ b/scale/fleet_run.py
@@ -12,7 +12,7 @@
 
 from .customers import CustomerPopulation
 from .environment import Environment, send_load
-from .figures import Announcement, LaunchedGatewayFigures, LoadSummary
+from .figures import Announcement, LaunchedGatewayInfo, LoadSummary
 from .fleet_options import FleetOptions
 from .hollow_processes import HollowProcesses, HollowTotals
 from .machine import resident_mb
@@ -71,7 +71,7 @@
             configs[: options.hollow_gateways],
             processes=options.hollow_processes,
         )
-        real: list[LaunchedGatewayFigures] = []
+        real: list[LaunchedGatewayInfo] = []
         if options.real_gateways:
             real = await environment.launch_gateways(program, configs[options.hollow_gateways :])
         clients = await environment.start_clients(
--- a/scale/gateway_launcher.py
+++ b/scale/gateway_launcher.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from .errors import RunError
-from .figures import LaunchedGatewayFigures
+from .figures import LaunchedGatewayInfo
 
 START_TIMEOUT_S = 60.0
 """How long a gateway may take until it listens."""
@@ -44,7 +44,7 @@
             message = f"gateway {self._name} exited before it listened, last log line: {self._last_log_line}"
             self._port.set_exception(RunError(message))
 
-    async def wait_until_listening(self) -> LaunchedGatewayFigures:
+    async def wait_until_listening(self) -> LaunchedGatewayInfo:
         """Wait until the gateway listens.
 
         Raises:
@@ -86,7 +86,7 @@
         self._folder = tempfile.TemporaryDirectory(prefix="scale-")
         self._gateways: list[LaunchedGateway] = []
 
-    async def start(self, checkout: str, configs: list[dict[str, Any]]) -> list[LaunchedGatewayFigures]:
+    async def start(self, checkout: str, configs: list[dict[str, Any]]) -> list[LaunchedGatewayInfo]:
         """Start a gateway of a checkout for each configuration.
 
         Raises:
@@ -94,7 +94,7 @@
         """
         return list(await asyncio.gather(*(self._start(checkout, config) for config in configs)))
 
-    async def _start(self, checkout: str, config: dict[str, Any]) -> LaunchedGatewayFigures:
+    async def _start(self, checkout: str, config: dict[str, Any]) -> LaunchedGatewayInfo:
         path = Path(self._folder.name) / f"{config['name']}.json"
         path.write_text(json.dumps(config))
         environment = {name: value for name, value in os.environ.items() if name != "PYTHONPATH"}
--- a/scale/histogram.py
+++ b/scale/histogram.py
@@ -53,7 +53,7 @@
         }
 
 
-class LagMeter:
+class TimerLagMeter:
     """How late the timers of the running event loop fire, over all measured phases."""
 
     def __init__(self) -> None:
--- a/scale/hollow_fleet.py
+++ b/scale/hollow_fleet.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from .customers import CustomerPopulation, Customers
-from .figures import HollowFigures, HollowStartFigures
+from .figures import HollowFigures, HollowStartMemory
 from .hollow_gateway import HollowGateway, backend_id_of, freeze_garbage_collector, send_requests
 from .machine import resident_mb
 from .propagation import NOT_APPLIED
@@ -25,7 +25,7 @@
         self._cpu_at_begin_s = 0.0
         self._began_at = 0.0
 
-    async def start(self, configs: list[dict[str, Any]]) -> HollowStartFigures:
+    async def start(self, configs: list[dict[str, Any]]) -> HollowStartMemory:
         """Start a gateway for each configuration, one after another."""
         before_mb = resident_mb()
         for config in configs:
--- a/scale/hollow_processes.py
+++ b/scale/hollow_processes.py
@@ -10,7 +10,7 @@
 
 from .customers import CustomerPopulation
 from .environment import START_TIMEOUT_S
-from .figures import HollowFigures, HollowStartFigures
+from .figures import HollowFigures, HollowStartMemory
 from .propagation import AnnouncedChange
 from .supervisor import CALL_TIMEOUT_S, Supervisor, WorkerProcess
 
@@ -54,7 +54,7 @@
             worker.call("start", configs=part, timeout_s=START_TIMEOUT_S + len(part) * CALL_TIMEOUT_S)
             for worker, part in zip(workers, by_process, strict=True)
         )
-        figures: list[HollowStartFigures] = await asyncio.gather(*starts)
+        figures: list[HollowStartMemory] = await asyncio.gather(*starts)
         grown_mb = sum(process["after_mb"] - process["before_mb"] for process in figures)
         return cls(workers, grown_mb / len(configs))
 
--- a/scale/load_generator.py
+++ b/scale/load_generator.py
@@ -9,7 +9,7 @@
 from .client_connections import REQUEST_TIMEOUT_S, GatewayTarget
 from .customers import CustomerPopulation, Customers
 from .figures import LatencySummary, LoadSummary
-from .histogram import LagMeter
+from .histogram import TimerLagMeter
 from .load_result import LoadRequest, LoadResult
 from .pacing import due_requests
 from .resp import encode_command
@@ -24,7 +24,7 @@
     def __init__(self) -> None:
         self._targets: list[GatewayTarget] = []
         self._request_ids = itertools.count(1)
-        self._lag = LagMeter()
+        self._lag = TimerLagMeter()
 
     async def connect(self, gateways: list[list[int]], customers: dict[str, int]) -> None:
         """Name the gateways, each by its index and port, and the fields of the `CustomerPopulation`."""
--- a/scale/quickstart.py
+++ b/scale/quickstart.py
@@ -50,7 +50,7 @@
         Raises:
             RunError: a process failed.
         """
-        result = Result.begin("quickstart", self)
+        result = Result.create("quickstart", self)
         async with Supervisor() as supervisor:
             environment = await Environment.start(
                 supervisor, backends=self.backends, seed=self.seed, stall_ms=self.stall_ms
--- a/scale/result.py
+++ b/scale/result.py
@@ -69,7 +69,7 @@
     """Timer lag of the fake services and clients, by service and phase."""
 
     @classmethod
-    def begin(cls, scenario: str, options: RunOptions) -> Result:
+    def create(cls, scenario: str, options: RunOptions) -> Result:
         """Return the result of a run that begins."""
         return cls(
             scenario=scenario,
@@ -84,7 +84,7 @@
             return ""
         return f" {ascii_uppercase[list(self.programs).index(program)]}"
 
-    def note_lag(self, phase: str, lag: LatencySummary) -> None:
+    def record_lag(self, phase: str, lag: LatencySummary) -> None:
         """Note the timer lag of a fake; of several notes for one phase the largest values count."""
         known = self.lags.get(phase, lag)
         self.lags[phase] = {
@@ -94,7 +94,7 @@
             "max_ms": max(known["max_ms"], lag["max_ms"]),
         }
 
-    def why_no_verdict(self) -> str:
+    def no_verdict_reason(self) -> str:
         """Return why the run has no verdict; empty where it has one."""
         late = [
             f"{phase} ran late: {lag['p99_ms']:g} ms at the 99th percentile, {lag['max_ms']:g} ms at most"
@@ -109,7 +109,7 @@
 
     def verdict(self) -> str | None:
         """Return `met` or `not met`, over all measured goals; None where the run has no verdict."""
-        if self.why_no_verdict():
+        if self.no_verdict_reason():
             return None
         return "not met" if any(goal.is_met is False for goal in self._all_goals()) else "met"
 
@@ -127,7 +127,7 @@
             "goals": goals_as_dict(self.goals),
             "timer_lag": self.lags,
             "verdict": self.verdict(),
-            "reason": self.why_no_verdict(),
+            "reason": self.no_verdict_reason(),
         }
 
 
--- a/scale/tables.py
+++ b/scale/tables.py
@@ -63,7 +63,7 @@
 
 def verdict_line(result: Result) -> str | None:
     """Return the verdict or why there is none; None where the run measured no goal."""
-    reason = result.why_no_verdict()
+    reason = result.no_verdict_reason()
     if reason == NO_GOALS:
         return None
     return f"No verdict: {reason}." if reason else f"Verdict: {result.verdict()}."
--- a/tests/scale/test_result.py
+++ b/tests/scale/test_result.py
@@ -28,7 +28,7 @@
         Goal(name="a list", unit="ms", limit=5.0, measured=None),
     ]
 
-    result.note_lag("discovery", LatencySummary(count=100, p50_ms=0.1, p99_ms=p99_ms, max_ms=max_ms))
+    result.record_lag("discovery", LatencySummary(count=100, p50_ms=0.1, p99_ms=p99_ms, max_ms=max_ms))
 
     assert result.verdict() == verdict
-    assert (result.verdict() is None) == bool(result.why_no_verdict())
+    assert (result.verdict() is None) == bool(result.no_verdict_reason())
