--- a/scale/command_options.py
+++ b/scale/command_options.py
@@ -86,6 +86,6 @@
         UsageError: one is not a whole number from 1 on.
     """
     if not numbers or any(number < 1 or number != int(number) for number in numbers):
-        found = ",".join(f"{number:g}" for number in numbers)
-        raise UsageError(f"{option} {found}: sizes are whole numbers from 1 on")
+        given = ",".join(f"{number:g}" for number in numbers)
+        raise UsageError(f"{option} {given}: sizes are whole numbers from 1 on")
     return tuple(dict.fromkeys(map(int, numbers)))
--- a/scale/control_bench.py
+++ b/scale/control_bench.py
@@ -10,7 +10,7 @@
 
 from .environment import Environment
 from .errors import CallTimeoutError, RunError
-from .figures import ControlWork, StartWork, SteadyWork
+from .figures import ControlMeasurement, StartMeasurement, SteadyMeasurement
 from .result import Result
 from .supervisor import WorkerProcess
 
@@ -37,39 +37,39 @@
     single_changes: int
     """Changes that come one at a time."""
 
-    start_work: StartWork
+    start_measurement: StartMeasurement
 
-    async def idle_cpu_ms(self) -> float:
+    async def measure_idle_cpu_ms(self) -> float:
         """Return the processor time without changes, in as much time as lies between two single changes."""
-        await self._begin()
+        await self._begin_phase()
         await asyncio.sleep(self.single_changes / SINGLE_CHANGE_RATE)
-        work: ControlWork = await self.gateway.call("end", wait_s=0.0)
-        return work["cpu_ms"] / self.single_changes
+        measurement: ControlMeasurement = await self.gateway.call("end", wait_s=0.0)
+        return measurement["cpu_ms"] / self.single_changes
 
-    async def run_single_changes(self) -> ControlWork:
+    async def run_single_changes(self) -> ControlMeasurement:
         """Announce changes one at a time."""
-        await self._begin()
+        await self._begin_phase()
         seconds = self.single_changes / SINGLE_CHANGE_RATE
         await self.environment.discovery.call("announce_evenly", rate=SINGLE_CHANGE_RATE, seconds=seconds)
-        return await self._finish(await self._prepare([]), BURST_TIMEOUT_S)
+        return await self._announce_until_applied(await self._prepare_batch([]), BURST_TIMEOUT_S)
 
-    async def run_burst(self, counts: list[int]) -> ControlWork:
+    async def run_burst(self, event_sizes: list[int]) -> ControlMeasurement:
         """Announce watch events of so many changes each, written at once."""
-        batch_id = await self._prepare(counts)
-        await self._begin()
-        return await self._finish(batch_id, BURST_TIMEOUT_S)
+        batch_id = await self._prepare_batch(event_sizes)
+        await self._begin_phase()
+        return await self._announce_until_applied(batch_id, BURST_TIMEOUT_S)
 
-    async def run_single_messages(self, count: int, timeout_s: float) -> ControlWork:
+    async def run_single_messages(self, message_count: int, timeout_s: float) -> ControlMeasurement:
         """Announce so many watch events of one change each, written at once.
 
         Work that is not complete after `timeout_s`, or whose process no longer responds, took at least what
         is returned.
         """
-        batch_id = await self._prepare([1] * count)
-        await self._begin()
+        batch_id = await self._prepare_batch([1] * message_count)
+        await self._begin_phase()
         cpu_before_s = self._gateway_cpu_s()
         try:
-            return await self._end(batch_id, timeout_s)
+            return await self._announce_batch(batch_id, timeout_s)
         except CallTimeoutError:
             cpu_ms = (self._gateway_cpu_s() - cpu_before_s) * 1000
             return {
@@ -79,20 +79,22 @@
                 "max_stall_wall_ms": (timeout_s + RESPONSE_SLACK_S) * 1000,
             }
 
-    async def run_steadily(self, *, change_rate: float, request_rate: float, seconds: float) -> SteadyWork:
+    async def run_steadily(
+        self, *, change_rate: float, request_rate: float, seconds: float
+    ) -> SteadyMeasurement:
         """Announce changes and send requests at even rates, each a second."""
         await self.environment.begin()
-        announced = self.environment.discovery.call_lasting(
+        announce_call = self.environment.discovery.call_lasting(
             seconds, "announce_evenly", rate=change_rate, seconds=seconds
         )
-        worked = self.gateway.call_lasting(
+        gateway_call = self.gateway.call_lasting(
             seconds, "run_steadily", request_rate=request_rate, seconds=seconds
         )
-        work: SteadyWork
-        work, _ = await asyncio.gather(worked, announced)
-        return work
+        measurement: SteadyMeasurement
+        measurement, _ = await asyncio.gather(gateway_call, announce_call)
+        return measurement
 
-    async def apply_backlog(self) -> None:
+    async def wait_for_backlog(self) -> None:
         """Wait until all announced changes are applied, so that none is measured in the next phase."""
         await self.run_burst([])
 
@@ -104,32 +106,32 @@
         times = psutil.Process(self.gateway.pid).cpu_times()
         return float(times.user + times.system)
 
-    async def _prepare(self, counts: list[int]) -> int:
+    async def _prepare_batch(self, event_sizes: list[int]) -> int:
         """Prepare watch events and the marker's; return the batch's id."""
-        batch_id: int = await self.environment.discovery.call("prepare", counts=counts, with_marker=True)
+        batch_id: int = await self.environment.discovery.call("prepare", counts=event_sizes, with_marker=True)
         return batch_id
 
-    async def _begin(self) -> None:
+    async def _begin_phase(self) -> None:
         await self.environment.begin()
         marker_host = await self.environment.discovery.call("marker_host")
         await self.gateway.call("begin", marker_host=marker_host)
 
-    async def _end(self, batch_id: int, timeout_s: float) -> ControlWork:
+    async def _announce_batch(self, batch_id: int, timeout_s: float) -> ControlMeasurement:
         """Announce a batch; return what all took, up to the marker's application or the time-out."""
         await self.environment.discovery.call("announce", batch_id=batch_id)
-        work: ControlWork = await self.gateway.call(
+        measurement: ControlMeasurement = await self.gateway.call(
             "end", wait_s=timeout_s, timeout_s=timeout_s + RESPONSE_SLACK_S
         )
         await self.read()
-        return work
+        return measurement
 
-    async def _finish(self, batch_id: int, timeout_s: float) -> ControlWork:
+    async def _announce_until_applied(self, batch_id: int, timeout_s: float) -> ControlMeasurement:
         """Announce a batch and wait until it is applied; return what all took.
 
         Raises:
             RunError: it was not applied in time.
         """
-        work = await self._end(batch_id, timeout_s)
-        if not work["is_complete"]:
+        measurement = await self._announce_batch(batch_id, timeout_s)
+        if not measurement["is_complete"]:
             raise RunError(f"{self.phase}: announced changes were not applied within {timeout_s:g} s")
-        return work
+        return measurement
--- a/scale/control_figures.py
+++ b/scale/control_figures.py
@@ -5,23 +5,23 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from .figures import ControlWork, RepeatSummary
+from .figures import ControlMeasurement, RepeatSummary
 from .histogram import summarize
 from .result import Goal
 
 FigureValues = dict[str, list[float]]
 """Measured values by name, one a repeat."""
 
-SMALL_LIST = 200
+SMALL_LIST_SIZE = 200
 """Backends of the list that memory is compared with."""
 
-MEDIUM_LIST = 2_000
+MEDIUM_LIST_SIZE = 2_000
 """Backends of the list that the time of one change is compared with."""
 
-TARGET_LIST = 39_000
+TARGET_LIST_SIZE = 39_000
 """Backends of the list that the goals are set for."""
 
-TARGET_BURST = 5_000
+TARGET_BURST_SIZE = 5_000
 """Changes of the burst that the goals are set for."""
 
 MAX_CHANGE_MS = 0.1
@@ -33,7 +33,7 @@
 MAX_BURST_STALL_MS = 2.0
 """Goal: longest stall by a burst in one watch event."""
 
-MAX_MESSAGES_MS = 600.0
+MAX_SINGLE_MESSAGES_MS = 600.0
 """Goal: processor time of a burst of single watch events."""
 
 MAX_SNAPSHOT_MS = 400.0
@@ -42,10 +42,10 @@
 MAX_SNAPSHOT_STALL_MS = 5.0
 """Goal: longest stall by the snapshot at a start."""
 
-MAX_LIST_MB = 48.0
+MAX_MEMORY_GROWTH_MB = 48.0
 """Goal: memory with the target list over that with the small one."""
 
-MIN_CHANGE_MS = 1e-6
+MIN_RATIO_DIVISOR_MS = 1e-6
 """Least processor time of a change that a ratio is taken to."""
 
 MEMORY_FIGURES = ("start_rss_mb", "end_rss_mb")
@@ -62,30 +62,30 @@
     is_lower_bound: bool = False
     """Single messages were not all applied in time: their figures are too low."""
 
-    def note(self, name: str, value: float) -> None:
+    def record(self, name: str, value: float) -> None:
         """Add a measured value."""
         self.figures.setdefault(name, []).append(value)
 
-    def note_steady(self, phase: str, values: dict[str, float]) -> None:
+    def record_steady(self, phase: str, values: dict[str, float]) -> None:
         """Add the values of a steady phase."""
         figures = self.steady.setdefault(phase, {})
         for name, value in values.items():
             figures.setdefault(name, []).append(value)
 
-    def note_completion(self, work: ControlWork) -> None:
+    def record_completion(self, measurement: ControlMeasurement) -> None:
         """Note whether a burst of single messages was applied in time."""
-        if not work["is_complete"]:
+        if not measurement["is_complete"]:
             self.is_lower_bound = True
 
-    def note_stalls(self, phase: str, work: ControlWork) -> None:
+    def record_stalls(self, phase: str, measurement: ControlMeasurement) -> None:
         """Add the longest stall by processor time, which other load does not lengthen, and by wall time."""
-        self.note(f"{phase}_stall_cpu_ms", work["max_stall_cpu_ms"])
-        self.note(f"{phase}_stall_wall_ms", work["max_stall_wall_ms"])
+        self.record(f"{phase}_stall_cpu_ms", measurement["max_stall_cpu_ms"])
+        self.record(f"{phase}_stall_wall_ms", measurement["max_stall_wall_ms"])
 
-    def note_memory_growth(self, small: ControlFigures) -> None:
+    def record_memory_growth(self, small_list: ControlFigures) -> None:
         """Add the memory over that with a small list, after the start or at the end, whichever is more."""
         growth_by_figure = [
-            [mb - small_mb for mb, small_mb in zip(self.figures[name], small.figures[name], strict=True)]
+            [mb - small_mb for mb, small_mb in zip(self.figures[name], small_list.figures[name], strict=True)]
             for name in MEMORY_FIGURES
         ]
         self.figures["growth_mb"] = [max(growths) for growths in zip(*growth_by_figure, strict=True)]
@@ -117,11 +117,11 @@
 
     def change_ratio(self) -> float | None:
         """Return the processor time of one change with the target list over that with the medium one."""
-        target_ms = self.median(TARGET_LIST, "single_change_cpu_ms")
-        medium_ms = self.median(MEDIUM_LIST, "single_change_cpu_ms")
+        target_ms = self.median(TARGET_LIST_SIZE, "single_change_cpu_ms")
+        medium_ms = self.median(MEDIUM_LIST_SIZE, "single_change_cpu_ms")
         if target_ms is None or medium_ms is None:
             return None
-        return target_ms / max(medium_ms, MIN_CHANGE_MS)
+        return target_ms / max(medium_ms, MIN_RATIO_DIVISOR_MS)
 
     def is_lower_bound(self, size: int) -> bool:
         """Whether the burst of single messages at a size of list timed out."""
@@ -144,7 +144,7 @@
             name="single change, processor time at 39,000",
             unit="ms",
             limit=MAX_CHANGE_MS,
-            measured=medians.median(TARGET_LIST, "single_change_cpu_ms"),
+            measured=medians.median(TARGET_LIST_SIZE, "single_change_cpu_ms"),
         ),
         Goal(
             name="single change, at 39,000 over at 2,000",
@@ -157,20 +157,20 @@
 
 def burst_goals(medians: MeasuredMedians, burst_size: int) -> list[Goal]:
     """Return the goals for bursts; a burst of another size than the target's is not compared."""
-    is_comparable = burst_size == TARGET_BURST
+    is_comparable = burst_size == TARGET_BURST_SIZE
     return [
         Goal(
             name="5,000 changes in one message, longest stall",
             unit="ms",
             limit=MAX_BURST_STALL_MS,
-            measured=medians.median(TARGET_LIST, "burst_stall_cpu_ms") if is_comparable else None,
+            measured=medians.median(TARGET_LIST_SIZE, "burst_stall_cpu_ms") if is_comparable else None,
         ),
         Goal(
             name="5,000 single messages, total processor time",
             unit="ms",
-            limit=MAX_MESSAGES_MS,
-            measured=medians.median(TARGET_LIST, "messages_cpu_ms") if is_comparable else None,
-            is_lower_bound=medians.is_lower_bound(TARGET_LIST),
+            limit=MAX_SINGLE_MESSAGES_MS,
+            measured=medians.median(TARGET_LIST_SIZE, "messages_cpu_ms") if is_comparable else None,
+            is_lower_bound=medians.is_lower_bound(TARGET_LIST_SIZE),
         ),
     ]
 
@@ -182,18 +182,18 @@
             name="snapshot at a start, processor time",
             unit="ms",
             limit=MAX_SNAPSHOT_MS,
-            measured=medians.median(TARGET_LIST, "start_cpu_ms"),
+            measured=medians.median(TARGET_LIST_SIZE, "start_cpu_ms"),
         ),
         Goal(
             name="snapshot at a start, longest stall",
             unit="ms",
             limit=MAX_SNAPSHOT_STALL_MS,
-            measured=medians.median(TARGET_LIST, "start_stall_cpu_ms"),
+            measured=medians.median(TARGET_LIST_SIZE, "start_stall_cpu_ms"),
         ),
         Goal(
             name="memory over a process with 200 backends",
             unit="MB",
-            limit=MAX_LIST_MB,
-            measured=medians.median(TARGET_LIST, "growth_mb"),
+            limit=MAX_MEMORY_GROWTH_MB,
+            measured=medians.median(TARGET_LIST_SIZE, "growth_mb"),
         ),
     ]
--- a/scale/control_report.py
+++ b/scale/control_report.py
@@ -7,7 +7,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from .control_figures import SMALL_LIST
+from .control_figures import SMALL_LIST_SIZE
 from .result import Result
 from .tables import format_summary, make_table, print_run
 
@@ -27,7 +27,7 @@
     ("snapshot at a start, longest stall by wall time", "start_stall_wall_ms"),
     ("memory after the start, MB", "start_rss_mb"),
     ("memory at the end, MB", "end_rss_mb"),
-    (f"memory over that with {SMALL_LIST} backends, MB", "growth_mb"),
+    (f"memory over that with {SMALL_LIST_SIZE} backends, MB", "growth_mb"),
 )
 """Titles of the table's rows, and the figures in them."""
 
--- a/scale/event_loop_probe.py
+++ b/scale/event_loop_probe.py
@@ -15,40 +15,40 @@
         self._reset()
 
     def _reset(self) -> None:
-        self.max_wall_ms = 0.0
-        self.max_cpu_ms = 0.0
-        self.update_cpu_ms: list[float] = []  # of the stalls in which a part of the list was applied
-        self._saw_update = False
+        self.max_stall_wall_ms = 0.0
+        self.max_stall_cpu_ms = 0.0
+        self.update_stall_cpu_ms: list[float] = []  # of the stalls in which a part of the list was applied
+        self._has_update = False
 
     def begin(self) -> None:
         """Forget all stalls and measure from here on."""
         self._reset()
-        self.skip()
+        self.restart_clocks()
         if not self._is_running:
             self._is_running = True
-            self._loop.call_soon(self._tick)
+            self._loop.call_soon(self._on_iteration)
 
     def end(self) -> None:
         """Stop measuring."""
         self._is_running = False
 
-    def note_update(self) -> None:
+    def record_update(self) -> None:
         """Mark the current iteration as one in which a part of the list was applied."""
-        self._saw_update = True
+        self._has_update = True
 
-    def skip(self) -> None:
+    def restart_clocks(self) -> None:
         """Leave out what has passed since the last iteration, because it is not the gateway's work."""
-        self._wall_s = time.perf_counter()
-        self._cpu_s = time.thread_time()
-
-    def _tick(self) -> None:
-        wall_ms = (time.perf_counter() - self._wall_s) * 1000
-        cpu_ms = (time.thread_time() - self._cpu_s) * 1000
-        self.max_wall_ms = max(self.max_wall_ms, wall_ms)
-        self.max_cpu_ms = max(self.max_cpu_ms, cpu_ms)
-        if self._saw_update:
-            self._saw_update = False
-            self.update_cpu_ms.append(cpu_ms)
+        self._iteration_wall_s = time.perf_counter()
+        self._iteration_cpu_s = time.thread_time()
+
+    def _on_iteration(self) -> None:
+        wall_ms = (time.perf_counter() - self._iteration_wall_s) * 1000
+        cpu_ms = (time.thread_time() - self._iteration_cpu_s) * 1000
+        self.max_stall_wall_ms = max(self.max_stall_wall_ms, wall_ms)
+        self.max_stall_cpu_ms = max(self.max_stall_cpu_ms, cpu_ms)
+        if self._has_update:
+            self._has_update = False
+            self.update_stall_cpu_ms.append(cpu_ms)
         if self._is_running:
-            self.skip()
-            self._loop.call_soon(self._tick)
+            self.restart_clocks()
+            self._loop.call_soon(self._on_iteration)
--- a/scale/figures.py
+++ b/scale/figures.py
@@ -66,7 +66,7 @@
     hosts: list[str]
 
 
-class ControlWork(TypedDict):
+class ControlMeasurement(TypedDict):
     """What one gateway's control work took; which times there are depends on the pass.
 
     A pass without the event-loop probe reports processor time, one with it reports stalls.
@@ -85,7 +85,7 @@
     """Stalls in which a part of the list, or a change, was applied."""
 
 
-class StartWork(ControlWork):
+class StartMeasurement(ControlMeasurement):
     """What reading the whole endpoint list at a start took."""
 
     gc_ms: float
@@ -94,7 +94,7 @@
     rss_mb: float
 
 
-class SteadyWork(ControlWork):
+class SteadyMeasurement(ControlMeasurement):
     """What a phase of steady work took."""
 
     sent: int
--- a/scale/histogram.py
+++ b/scale/histogram.py
@@ -11,17 +11,17 @@
 
 from .figures import LatencySummary, RepeatSummary
 
-MAX_US = 600_000_000
+MAX_LATENCY_US = 600_000_000
 """Highest latency that the histogram resolves, in microseconds: ten minutes."""
 
 SIGNIFICANT_DIGITS = 3
 """Decimal digits to which the histogram resolves a latency."""
 
-TICK_S = 0.005
+LAG_TIMER_INTERVAL_S = 0.005
 """Interval between two timers of a lag meter."""
 
 
-SUMMARY_DIGITS = 4
+SUMMARY_DECIMALS = 4
 """Decimal places of a summary of repeats."""
 
 
@@ -29,7 +29,7 @@
     """A histogram of latencies in milliseconds, with three significant digits and from a microsecond on."""
 
     def __init__(self) -> None:
-        self._histogram = HdrHistogram(1, MAX_US, SIGNIFICANT_DIGITS)
+        self._histogram = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
         self._count = 0
         self._max_ms = 0.0
 
@@ -37,7 +37,7 @@
         """Add one latency."""
         self._count += 1
         self._max_ms = max(self._max_ms, latency_ms)
-        self._histogram.record_value(min(MAX_US, max(1, round(latency_ms * 1000))))
+        self._histogram.record_value(min(MAX_LATENCY_US, max(1, round(latency_ms * 1000))))
 
     def percentile(self, percent: float) -> float:
         """Return a percentile in milliseconds; 0 where nothing was recorded."""
@@ -63,10 +63,10 @@
         self._schedule()
 
     def _schedule(self) -> None:
-        self._due_at = time.monotonic() + TICK_S
-        self._handle = self._loop.call_later(TICK_S, self._tick)
+        self._due_at = time.monotonic() + LAG_TIMER_INTERVAL_S
+        self._handle = self._loop.call_later(LAG_TIMER_INTERVAL_S, self._on_timer)
 
-    def _tick(self) -> None:
+    def _on_timer(self) -> None:
         if self._is_measuring:
             self._lags.record(max(0.0, time.monotonic() - self._due_at) * 1000)
         self._schedule()
@@ -91,9 +91,9 @@
     """Return the summary of measured values, in their own unit; all 0 where there are none."""
     values = values or [0.0]
     return {
-        "min": round(min(values), SUMMARY_DIGITS),
-        "median": round(statistics.median(values), SUMMARY_DIGITS),
-        "max": round(max(values), SUMMARY_DIGITS),
+        "min": round(min(values), SUMMARY_DECIMALS),
+        "median": round(statistics.median(values), SUMMARY_DECIMALS),
+        "max": round(max(values), SUMMARY_DECIMALS),
     }
 
 
--- a/scale/machine.py
+++ b/scale/machine.py
@@ -26,25 +26,25 @@
 GATEWAY_MB = 0.5
 """Memory of a gateway without an endpoint list, in MB."""
 
-BACKEND_KB = 1.25
+GATEWAY_ENTRY_KB = 1.25
 """Memory that a gateway takes for a listed backend, in KB."""
 
-CUSTOMER_KB = 2.0
+GATEWAY_CUSTOMER_KB = 2.0
 """Memory that a gateway takes for a customer that it serves, in KB."""
 
-LIST_ENTRY_KB = 1.5
+DISCOVERY_ENTRY_KB = 1.5
 """Memory that the fake discovery takes for a listed backend, in KB."""
 
 ENCODED_ENTRY_KB = 0.14
 """Size of a listed backend on the wire, in KB."""
 
-READ_BUFFER_LISTS = 12.0
+READ_BUFFER_FACTOR = 12.0
 """Memory that a process needs to read a list, as a multiple of the list's size on the wire."""
 
 MAX_CONCURRENT_SNAPSHOTS = 64
 """Snapshots that the fake discovery has in flight at once."""
 
-SPARE_DESCRIPTORS = 64
+NON_CONNECTION_DESCRIPTORS = 64
 """File descriptors of a process that are no connections."""
 
 DESCRIPTORS_PER_GATEWAY = 4
@@ -55,7 +55,7 @@
 
 def gateway_mb(backends: int, customers: float) -> float:
     """Return an upper estimate of a gateway's control state, in MB."""
-    return GATEWAY_MB + (backends * BACKEND_KB + customers * CUSTOMER_KB) / KB_PER_MB
+    return GATEWAY_MB + (backends * GATEWAY_ENTRY_KB + customers * GATEWAY_CUSTOMER_KB) / KB_PER_MB
 
 
 def served_customers(
@@ -70,13 +70,13 @@
 
 def read_buffer_mb(backends: int) -> float:
     """Return the temporary memory that a process needs to read a snapshot, in MB."""
-    return backends * ENCODED_ENTRY_KB * READ_BUFFER_LISTS / KB_PER_MB
+    return backends * ENCODED_ENTRY_KB * READ_BUFFER_FACTOR / KB_PER_MB
 
 
 def discovery_mb(backends: int, watches: int) -> float:
     """Return the memory of the fake discovery, in MB: the list, and the snapshots in flight."""
     snapshots = 2 + min(watches, MAX_CONCURRENT_SNAPSHOTS)
-    return backends * LIST_ENTRY_KB / KB_PER_MB + backends * ENCODED_ENTRY_KB / KB_PER_MB * snapshots
+    return backends * DISCOVERY_ENTRY_KB / KB_PER_MB + backends * ENCODED_ENTRY_KB / KB_PER_MB * snapshots
 
 
 def check_fleet_size(gateways: int, fleet: int) -> None:
@@ -89,22 +89,22 @@
         raise UsageError(f"{gateways} started gateways are more than the fleet of {fleet}")
 
 
-def check_capacity(megabytes: float, processes: int, descriptors: int = 0) -> None:
+def check_capacity(needed_mb: float, processes: int, descriptors: int = 0) -> None:
     """Check that this machine can carry a run; `descriptors` are those of one process.
 
     Raises:
         UsageError: it cannot.
     """
     total_mb = psutil.virtual_memory().total / 2**20
-    if megabytes > total_mb * MAX_MEMORY_SHARE:
+    if needed_mb > total_mb * MAX_MEMORY_SHARE:
         raise UsageError(
-            f"these sizes need about {megabytes:,.0f} MB of memory, and half of this machine's is"
+            f"these sizes need about {needed_mb:,.0f} MB of memory, and half of this machine's is"
             f" {total_mb * MAX_MEMORY_SHARE:,.0f} MB"
         )
     if processes > MAX_PROCESSES:
         raise UsageError(f"these sizes need {processes} processes, over {MAX_PROCESSES}")
     limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-    needed = descriptors + SPARE_DESCRIPTORS
+    needed = descriptors + NON_CONNECTION_DESCRIPTORS
     if limit != resource.RLIM_INFINITY and needed > limit:
         raise UsageError(f"these sizes need {needed} file descriptors in one process, over {limit}")
 
--- a/scale/measured_gateway.py
+++ b/scale/measured_gateway.py
@@ -13,7 +13,7 @@
 
 from .customers import CustomerPopulation, Customers
 from .event_loop_probe import EventLoopProbe
-from .figures import ControlWork, StartWork, SteadyWork
+from .figures import ControlMeasurement, StartMeasurement, SteadyMeasurement
 from .hollow_gateway import HollowGateway, backend_id_of, freeze_garbage_collector, send_requests
 from .machine import resident_mb
 
@@ -33,15 +33,15 @@
     def __init__(self) -> None:
         self._gateway: HollowGateway | None = None
         self._probe: EventLoopProbe | None = None
-        self._cpu_stamps_s: list[float] = []  # processor time so far, after each part of a list or change
+        self._cpu_readings_s: list[float] = []  # processor time so far, after each part of a list or change
         self._marker_id = NO_MARKER
         self._is_marker_applied = False
 
     def _on_update(self) -> None:
         if self._probe is not None:
-            self._probe.note_update()
+            self._probe.record_update()
         else:
-            self._cpu_stamps_s.append(time.process_time())
+            self._cpu_readings_s.append(time.process_time())
         gateway = self._gateway
         if gateway is None or not gateway.watch_events:
             return
@@ -50,7 +50,9 @@
         if backend_ids and self._marker_id in (backend_ids[0], backend_ids[-1]):
             self._is_marker_applied = True
 
-    async def start(self, config: dict[str, Any], probe_loop: bool, customers: dict[str, int]) -> StartWork:
+    async def start(
+        self, config: dict[str, Any], probe_loop: bool, customers: dict[str, int]
+    ) -> StartMeasurement:
         """Read the whole list as at a start; return what that took.
 
         `customers` are the fields of `CustomerPopulation`.
@@ -62,31 +64,31 @@
         self._gateway.start()
         await self._gateway.wait_for_snapshot()
         await asyncio.sleep(SETTLE_S)
-        work = self._work(is_complete=True)
-        return {**work, "gc_ms": freeze_garbage_collector(), "rss_mb": resident_mb()}
+        measurement = self._end_phase(is_complete=True)
+        return {**measurement, "gc_ms": freeze_garbage_collector(), "rss_mb": resident_mb()}
 
     async def begin(self, marker_host: str = "") -> None:
         """Measure from here on; `marker_host` is the backend whose change is announced last."""
         assert self._gateway is not None
         self._gateway.begin()
-        self._cpu_stamps_s.clear()
+        self._cpu_readings_s.clear()
         self._marker_id = backend_id_of(marker_host) if marker_host else NO_MARKER
         self._is_marker_applied = False
         if self._probe is not None:
             self._probe.begin()
         self._cpu_at_begin_s = time.process_time()
 
-    async def end(self, wait_s: float) -> ControlWork:
+    async def end(self, wait_s: float) -> ControlMeasurement:
         """Wait until the marker is applied, at most `wait_s`; return what all work since `begin` took."""
         deadline = time.monotonic() + wait_s
         while not self._is_marker_applied and time.monotonic() < deadline:
             await asyncio.sleep(POLL_INTERVAL_S)
-            self._search_marker()
+            self._search_for_marker()
         if self._is_marker_applied:
             await asyncio.sleep(SETTLE_S)
-        return self._work(is_complete=self._is_marker_applied)
+        return self._end_phase(is_complete=self._is_marker_applied)
 
-    def _search_marker(self) -> None:
+    def _search_for_marker(self) -> None:
         """Search all events for the marker, once no more events come."""
         assert self._gateway is not None
         events = self._gateway.watch_events
@@ -94,32 +96,32 @@
             return
         self._is_marker_applied = self._gateway.applied_at(self._marker_id, 0.0) is not None
         if self._probe is not None:
-            self._probe.skip()
+            self._probe.restart_clocks()
 
-    async def run_steadily(self, request_rate: float, seconds: float) -> SteadyWork:
+    async def run_steadily(self, request_rate: float, seconds: float) -> SteadyMeasurement:
         """Send `request_rate` requests a second for so many seconds; return what all control work took."""
         assert self._gateway is not None
         await self.begin()
         await send_requests([self._gateway], self._customers, rate=request_rate, seconds=seconds)
         return {
-            **self._work(is_complete=True),
+            **self._end_phase(is_complete=True),
             "sent": self._gateway.sent_requests,
             "served": self._gateway.served_requests,
             "rss_mb": resident_mb(),
         }
 
-    def _work(self, *, is_complete: bool) -> ControlWork:
+    def _end_phase(self, *, is_complete: bool) -> ControlMeasurement:
         cpu_ms = (time.process_time() - self._cpu_at_begin_s) * 1000
         if self._probe is None:
-            stamps = itertools.pairwise(self._cpu_stamps_s)
-            update_cpu_ms = [(after_s - before_s) * 1000 for before_s, after_s in stamps]
+            readings = itertools.pairwise(self._cpu_readings_s)
+            update_cpu_ms = [(after_s - before_s) * 1000 for before_s, after_s in readings]
             return {"is_complete": is_complete, "cpu_ms": cpu_ms, "update_cpu_ms": update_cpu_ms}
         self._probe.end()
         return {
             "is_complete": is_complete,
-            "max_stall_cpu_ms": self._probe.max_cpu_ms,
-            "max_stall_wall_ms": self._probe.max_wall_ms,
-            "update_stall_cpu_ms": self._probe.update_cpu_ms,
+            "max_stall_cpu_ms": self._probe.max_stall_cpu_ms,
+            "max_stall_wall_ms": self._probe.max_stall_wall_ms,
+            "update_stall_cpu_ms": self._probe.update_stall_cpu_ms,
         }
 
     def close(self) -> None:
--- a/scale/result.py
+++ b/scale/result.py
@@ -23,7 +23,7 @@
 MAX_LAG_MS = 250.0
 """Timer lag of a fake service, at most, above which a run has no verdict."""
 
-NO_GOALS = "no goal figure was measured"
+NO_GOAL_MEASURED = "no goal figure was measured"
 
 
 @dataclass(kw_only=True)
@@ -86,12 +86,12 @@
 
     def record_lag(self, phase: str, lag: LatencySummary) -> None:
         """Note the timer lag of a fake; of several notes for one phase the largest values count."""
-        known = self.lags.get(phase, lag)
+        previous = self.lags.get(phase, lag)
         self.lags[phase] = {
-            "count": max(known["count"], lag["count"]),
-            "p50_ms": max(known["p50_ms"], lag["p50_ms"]),
-            "p99_ms": max(known["p99_ms"], lag["p99_ms"]),
-            "max_ms": max(known["max_ms"], lag["max_ms"]),
+            "count": max(previous["count"], lag["count"]),
+            "p50_ms": max(previous["p50_ms"], lag["p50_ms"]),
+            "p99_ms": max(previous["p99_ms"], lag["p99_ms"]),
+            "max_ms": max(previous["max_ms"], lag["max_ms"]),
         }
 
     def no_verdict_reason(self) -> str:
@@ -104,7 +104,7 @@
         if late:
             return f"{'; '.join(late)} (limits {MAX_LAG_P99_MS:g} and {MAX_LAG_MS:g} ms)"
         if all(goal.is_met is None for goal in self._all_goals()):
-            return NO_GOALS
+            return NO_GOAL_MEASURED
         return ""
 
     def verdict(self) -> str | None:
@@ -133,7 +133,7 @@
 
 def goals_as_dict(goals: Mapping[str, list[Goal]]) -> dict[str, list[dict[str, Any]]]:
     """Return goals by checkout as they go into the JSON file."""
-    return {program: [goal.as_dict() for goal in of_program] for program, of_program in goals.items()}
+    return {program: [goal.as_dict() for goal in program_goals] for program, program_goals in goals.items()}
 
 
 class ResultFile:
--- a/scale/runner.py
+++ b/scale/runner.py
@@ -17,7 +17,7 @@
 INTERRUPT_SIGNALS = (signal.SIGINT, signal.SIGTERM)
 """Signals that end a run early, in order and with all its processes."""
 
-PIPE_COLUMNS = 150
+NON_TERMINAL_WIDTH = 150
 """Width of a table that goes to a file or a pipe."""
 
 
@@ -48,11 +48,11 @@
 def run_scenario(scenario: Scenario, print_result: ResultPrinter, json_file: str | None) -> None:
     """Check and run a scenario, write its JSON and print its result."""
     scenario.check()
-    file = ResultFile(json_file)
+    result_file = ResultFile(json_file)
     progress = Console(stderr=True, highlight=False)
     result = asyncio.run(run_interruptibly(scenario, progress))
-    file.write(result)
+    result_file.write(result)
     output = Console(highlight=False)
     if not output.is_terminal:
-        output = Console(highlight=False, width=PIPE_COLUMNS)
+        output = Console(highlight=False, width=NON_TERMINAL_WIDTH)
     print_result(output, result)
--- a/scale/tables.py
+++ b/scale/tables.py
@@ -8,12 +8,12 @@
 from rich.table import Table
 
 from .figures import RepeatSummary
-from .result import NO_GOALS, Result
+from .result import NO_GOAL_MEASURED, Result
 
 GOAL_STATUS_LABELS: Mapping[bool | None, str] = {True: "yes", False: "NO", None: "-"}
 """What the column of met goals shows; None is a goal that was not measured."""
 
-LARGE_VALUE = 1000
+MIN_VALUE_WITHOUT_DECIMALS = 1000
 """Floating-point values from here on are shown as whole numbers."""
 
 
@@ -22,7 +22,7 @@
     if value is None:
         return "-"
     if isinstance(value, float):
-        return f"{value:,.0f}" if abs(value) >= LARGE_VALUE else f"{value:.3g}"
+        return f"{value:,.0f}" if abs(value) >= MIN_VALUE_WITHOUT_DECIMALS else f"{value:.3g}"
     return f"{value:,}" if isinstance(value, int) else str(value)
 
 
@@ -64,7 +64,7 @@
 def verdict_line(result: Result) -> str | None:
     """Return the verdict or why there is none; None where the run measured no goal."""
     reason = result.no_verdict_reason()
-    if reason == NO_GOALS:
+    if reason == NO_GOAL_MEASURED:
         return None
     return f"No verdict: {reason}." if reason else f"Verdict: {result.verdict()}."
 
--- a/tests/scale/scale_process.py
+++ b/tests/scale/scale_process.py
@@ -32,7 +32,7 @@
 SignalDispositions = Mapping[signal.Signals, signal.Handlers]
 """How a process treats signals: by default, or not at all."""
 
-INHERITED_AS_IS: SignalDispositions = MappingProxyType({})
+UNCHANGED_DISPOSITIONS: SignalDispositions = MappingProxyType({})
 
 
 class RunOutput(NamedTuple):
@@ -71,12 +71,12 @@
 
     def live_processes(self) -> list[psutil.Process]:
         """Return all live processes of the run, whichever process started them."""
-        found = []
+        live = []
         for process in psutil.process_iter():
             with contextlib.suppress(psutil.Error):
                 if process.environ().get(RUN_ID_VARIABLE) == self._run_id:
-                    found.append(process)
-        return found
+                    live.append(process)
+        return live
 
     def wait_until_ready(self) -> list[psutil.Process]:
         """Wait until all processes are up, and return them."""
@@ -84,7 +84,7 @@
         assert any(line.startswith(READY_LINE) for line in self._process.stderr)
         return self.live_processes()
 
-    def wait_until_gone(self) -> None:
+    def wait_until_all_exit(self) -> None:
         """Wait until no process is left; the test's time-out ends a wait that never does."""
         while self.live_processes():
             time.sleep(POLL_INTERVAL_S)
@@ -112,7 +112,9 @@
 
 
 @contextlib.contextmanager
-def start_scale(*args: str, dispositions: SignalDispositions = INHERITED_AS_IS) -> Iterator[ScaleProcess]:
+def start_scale(
+    *args: str, dispositions: SignalDispositions = UNCHANGED_DISPOSITIONS
+) -> Iterator[ScaleProcess]:
     """Start a run, which inherits these dispositions of signals; kill what is left of it afterwards."""
     run = ScaleProcess(*args, dispositions=dispositions)
     try:
@@ -121,11 +123,11 @@
         run.kill_all()
 
 
-def complete_run(folder: Path, *args: str) -> CompletedRun:
+def run_to_completion(folder: Path, *args: str) -> CompletedRun:
     """Run a scenario to its end; check that it succeeds and leaves no process."""
-    file = folder / "result.json"
-    with start_scale(*args, "--json", str(file)) as run:
+    result_file = folder / "result.json"
+    with start_scale(*args, "--json", str(result_file)) as run:
         output = run.finish()
         assert run.exit_status == 0, output.stderr
         assert not run.live_processes()
-    return CompletedRun(json.loads(file.read_text()), output.stdout)
+    return CompletedRun(json.loads(result_file.read_text()), output.stdout)
--- a/tests/scale/test_scale.py
+++ b/tests/scale/test_scale.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from tests.scale.scale_process import ROOT, CompletedRun, complete_run, start_scale
+from tests.scale.scale_process import ROOT, CompletedRun, run_to_completion, start_scale
 
 FLEET = shlex.split(
     "fleet --hollow 4 --processes 2 --real 1 --backends 40 --seconds 0.5 --bursts 20 --window 0.5"
@@ -30,9 +30,9 @@
 apply_endpoints = Dispatcher.on_endpoints
 
 
-def apply_slowly(*args, **keywords):
+def apply_slowly(*args, **kwargs):
     sum(range(2_000_000))
-    apply_endpoints(*args, **keywords)
+    apply_endpoints(*args, **kwargs)
 
 
 Dispatcher.on_endpoints = apply_slowly
@@ -41,7 +41,7 @@
 
 @pytest.fixture(scope="module")
 def fleet_run(tmp_path_factory: pytest.TempPathFactory) -> CompletedRun:
-    return complete_run(tmp_path_factory.mktemp("fleet"), *FLEET)
+    return run_to_completion(tmp_path_factory.mktemp("fleet"), *FLEET)
 
 
 @pytest.fixture(scope="module")
@@ -90,7 +90,7 @@
 
 
 def test_fakes_that_ran_late_give_no_verdict(tmp_path: Path) -> None:
-    run = complete_run(tmp_path, *FLEET, "--stall", "400")
+    run = run_to_completion(tmp_path, *FLEET, "--stall", "400")
 
     (goals,) = run.result["goals"].values()
     assert goals[0]["is_met"] is not None
@@ -115,7 +115,7 @@
 def comparison(tmp_path_factory: pytest.TempPathFactory) -> Comparison:
     folder = tmp_path_factory.mktemp("control")
     slower_checkout = copy_slower_checkout(folder / "other")
-    run = complete_run(folder, *CONTROL, "--program", str(ROOT), "--program", str(slower_checkout))
+    run = run_to_completion(folder, *CONTROL, "--program", str(ROOT), "--program", str(slower_checkout))
     return Comparison(run, slower_checkout)
 
 
@@ -129,24 +129,24 @@
 
 
 def test_one_run_tells_a_slower_checkout_from_a_faster_one(comparison: Comparison) -> None:
-    here = comparison.figures(ROOT)
-    there = comparison.figures(comparison.slower_checkout)
+    faster = comparison.figures(ROOT)
+    slower = comparison.figures(comparison.slower_checkout)
 
-    assert here["single_change_cpu_ms"]["median"] * 5 < there["single_change_cpu_ms"]["median"]
+    assert faster["single_change_cpu_ms"]["median"] * 5 < slower["single_change_cpu_ms"]["median"]
 
 
 def test_one_run_gives_two_checkouts_the_same_endpoint_list(comparison: Comparison) -> None:
-    here = comparison.figures(ROOT)
-    there = comparison.figures(comparison.slower_checkout)
+    faster = comparison.figures(ROOT)
+    slower = comparison.figures(comparison.slower_checkout)
 
-    assert here["start_bytes"]["median"] == there["start_bytes"]["median"] > 0
+    assert faster["start_bytes"]["median"] == slower["start_bytes"]["median"] > 0
 
 
 def test_a_control_run_measures_stalls_of_a_burst_that_was_applied_in_time(comparison: Comparison) -> None:
-    here = comparison.figures(ROOT)
+    figures = comparison.figures(ROOT)
 
-    assert here["burst_stall_cpu_ms"]["median"] > 0
-    assert not here["is_lower_bound"]
+    assert figures["burst_stall_cpu_ms"]["median"] > 0
+    assert not figures["is_lower_bound"]
 
 
 def test_a_control_run_prints_a_column_for_each_checkout(comparison: Comparison) -> None:
@@ -190,10 +190,10 @@
         processes = run.wait_until_ready()
         run.send_signal(signum)
         output = run.finish()
-        left = run.live_processes()
+        remaining = run.live_processes()
 
     assert len(processes) >= QUICKSTART_PROCESSES
-    assert not left
+    assert not remaining
     assert run.exit_status == 130
     assert "Traceback" not in output.stderr
 
@@ -202,7 +202,7 @@
     with start_scale(*LONG_QUICKSTART) as run:
         run.wait_until_ready()
         run.send_signal(signal.SIGKILL)
-        run.wait_until_gone()
+        run.wait_until_all_exit()
 
 
 def test_a_gateway_that_cannot_start_fails_the_run(tmp_path: Path) -> None:
@@ -212,9 +212,9 @@
 
     with start_scale("quickstart", "--program", str(tmp_path)) as run:
         output = run.finish()
-        left = run.live_processes()
+        remaining = run.live_processes()
 
-    assert not left
+    assert not remaining
     assert run.exit_status == 1
     assert "exited before it listened, last log line: not today" in output.stderr
     assert "Traceback" not in output.stderr
