--- a/scale/__main__.py
+++ b/scale/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m scale`: what the gateway's control work costs at the sizes of a large fleet."""
+"""The command line `python -m scale`, which measures the gateway's control work at large fleet sizes."""
 
 from __future__ import annotations
 
@@ -22,19 +22,25 @@
 
 @click.group(context_settings={"show_default": True, "max_content_width": 110})
 def cli() -> None:
-    """Scale runs of the gateway: control work at the sizes of a large fleet, on loopback sockets only."""
+    """Measure the gateway's control work at large fleet sizes; all sockets are on the loopback address."""
 
 
 @cli.command("quickstart")
-@click.option("--gateways", type=click.IntRange(1), default=3, help="Real gateways, each in its own process.")
-@click.option("--backends", type=click.IntRange(1), default=6, help="Backends in the endpoint list.")
-@click.option("--customers", type=click.IntRange(1), default=30, help="Customers of all gateways together.")
+@click.option(
+    "--gateways", type=click.IntRange(1), default=3, help="Number of real gateways, each in its own process."
+)
+@click.option(
+    "--backends", type=click.IntRange(1), default=6, help="Number of backends in the endpoint list."
+)
+@click.option(
+    "--customers", type=click.IntRange(1), default=30, help="Number of customers, over all gateways."
+)
 @click.option(
     "--rate",
     "request_rate",
     type=click.FloatRange(0, min_open=True),
     default=200.0,
-    help="Requests per second, over all gateways.",
+    help="Request rate over all gateways, in requests per second.",
 )
 @click.option(
     "--seconds",
@@ -45,7 +51,7 @@
 @click.option("--program", default=".", metavar="DIR", help="Checkout of the program to run.")
 @common_options
 def quickstart_command(json_file: str | None, program: str, **options: Any) -> None:
-    """A few real gateways under load: requests served, rejected and failed, and their latency."""
+    """Send load to a few real gateways; count served, rejected and failed requests, and measure latency."""
     scenario = quickstart.QuickstartScenario(programs=resolve_checkouts((program,)), **options)
     run_scenario(scenario, quickstart.print_result, json_file)
 
@@ -55,44 +61,47 @@
     "--backends",
     type=NumberList(),
     default="200,2000,10000,39000",
-    help="Sizes of the endpoint list to measure.",
+    help="Sizes of the endpoint list to measure, in backends.",
 )
 @click.option(
     "--changes",
     "change_rates",
     type=NumberList(),
     default="0,10,100",
-    help="Endpoint changes per second, one steady phase for each value.",
+    help="Rates of endpoint changes to measure, in changes per second; each value has its own steady phase.",
 )
 @click.option(
     "--customers",
     type=NumberList(),
     default="300000",
-    help="Customers of the whole fleet, one steady phase for each value.",
+    help="Numbers of customers in the whole fleet; each value other than 0 has its own steady phase.",
 )
 @click.option(
     "--requests",
     "request_rate",
     type=click.FloatRange(0, 2_000),
     default=50.0,
-    help="Requests per second in the steady phases with customers.",
+    help="Request rate in the steady phases with customers, in requests per second.",
 )
-@click.option("--fleet", type=click.IntRange(1), default=3_700, help="Gateways of the whole fleet.")
+@click.option("--fleet", type=click.IntRange(1), default=3_700, help="Number of gateways in the whole fleet.")
 @click.option(
-    "--gateways-per-customer", type=click.IntRange(1), default=30, help="Gateways that serve each customer."
+    "--gateways-per-customer",
+    type=click.IntRange(1),
+    default=30,
+    help="Number of gateways that serve each customer.",
 )
 @click.option(
     "--single-changes",
     type=click.IntRange(2, 10_000),
     default=32,
-    help="Number of changes announced one at a time.",
+    help="Number of endpoint changes announced one at a time.",
 )
 @click.option(
     "--burst",
     "burst_size",
     type=click.IntRange(1, 100_000),
     default=5_000,
-    help="Number of changes in each burst.",
+    help="Number of endpoint changes in each burst.",
 )
 @click.option(
     "--steady",
@@ -106,9 +115,11 @@
     "messages_timeout_s",
     type=click.FloatRange(1, 1_200),
     default=120.0,
-    help="Time-out of the burst of single messages, in seconds.",
+    help="Time-out for applying the burst of messages with one change each, in seconds.",
+)
+@click.option(
+    "--repeats", type=click.IntRange(1, 100), default=3, help="Number of measurements of each figure."
 )
-@click.option("--repeats", type=click.IntRange(1, 100), default=3, help="How often each figure is measured.")
 @program_option
 @common_options
 def control_command(
@@ -118,7 +129,7 @@
     customers: tuple[float, ...],
     **options: Any,
 ) -> None:
-    """One gateway's control work by size of list: processor time, event-loop stalls, memory and bytes."""
+    """Measure one gateway's processor time, event-loop stalls, memory and traffic by endpoint list size."""
     scenario = ControlScenario(
         list_sizes=parse_sizes(backends, "--backends"),
         customers=tuple(map(int, customers)),
@@ -130,80 +141,89 @@
 
 @cli.command("fleet")
 @click.option(
-    "--hollow", "hollow_gateways", type=click.IntRange(1), default=40, help="Gateways without clients."
+    "--hollow",
+    "hollow_gateways",
+    type=click.IntRange(1),
+    default=40,
+    help="Number of hollow gateways, which have no clients.",
 )
 @click.option(
     "--processes",
     "hollow_processes",
     type=click.IntRange(1, machine.MAX_PROCESSES),
     default=4,
-    help="Processes that hold the hollow gateways.",
+    help="Number of processes that run the hollow gateways.",
 )
 @click.option(
     "--real",
     "real_gateways",
     type=click.IntRange(0),
     default=2,
-    help="Gateways with clients, each in its own process.",
+    help="Number of real gateways, which have clients, each in its own process.",
+)
+@click.option(
+    "--backends", type=click.IntRange(2), default=2_000, help="Number of backends in the endpoint list."
 )
-@click.option("--backends", type=click.IntRange(2), default=2_000, help="Backends in the endpoint list.")
 @click.option(
     "--changes",
     "change_rate",
     type=click.FloatRange(0.1, 10_000),
     default=10.0,
-    help="Endpoint changes per second in the steady phase.",
+    help="Rate of endpoint changes in the steady phase, in changes per second.",
 )
 @click.option(
     "--seconds",
     "phase_s",
     type=click.FloatRange(0.1, 600),
     default=5.0,
-    help="Duration of each phase other than the bursts, in seconds.",
+    help="Duration of each phase other than a burst, in seconds.",
 )
 @click.option(
     "--bursts",
     type=NumberList(),
     default="300,5000",
-    help="Numbers of changes to announce in one message, one burst for each value.",
+    help="Burst sizes to measure, in endpoint changes; each burst is announced in one message.",
 )
 @click.option(
     "--window",
     "burst_window_s",
     type=click.FloatRange(0.5, 60),
     default=1.0,
-    help="Duration of the requests around each burst, in seconds.",
+    help="Duration of the client load around each burst, in seconds.",
 )
 @click.option(
-    "--customers", type=NumberList(), default="30000,300000", help="Customers of the whole fleet to measure."
+    "--customers",
+    type=NumberList(),
+    default="30000,300000",
+    help="Numbers of customers in the whole fleet to measure.",
 )
 @click.option(
     "--gateways-per-customer",
     type=NumberList(),
     default="3,30",
-    help="Gateways that serve each customer, measured with each number of customers.",
+    help="Numbers of gateways that serve each customer; each is measured with each number of customers.",
 )
 @click.option(
     "--requests",
     "hollow_request_rate",
     type=click.FloatRange(0.1, 2_000),
     default=20.0,
-    help="Requests per second of each hollow gateway.",
+    help="Request rate of each hollow gateway, in requests per second.",
 )
 @click.option(
     "--rate",
     "real_request_rate",
     type=click.FloatRange(0.1, 20_000),
     default=300.0,
-    help="Requests per second, over all real gateways.",
+    help="Request rate over all real gateways, in requests per second.",
 )
-@click.option("--fleet", type=click.IntRange(1), default=3_700, help="Gateways of the whole fleet.")
+@click.option("--fleet", type=click.IntRange(1), default=3_700, help="Number of gateways in the whole fleet.")
 @click.option(
     "--timeout",
     "change_timeout_s",
     type=click.FloatRange(1, 600),
     default=30.0,
-    help="Time-out for a change to be applied by all hollow gateways, in seconds.",
+    help="Time-out for all hollow gateways to apply a change, in seconds.",
 )
 @program_option
 @common_options
@@ -215,7 +235,7 @@
     gateways_per_customer: tuple[float, ...],
     **options: Any,
 ) -> None:
-    """Many hollow gateways and a few real ones: how soon changes are applied, and what they cost."""
+    """Measure how soon a fleet of hollow and real gateways applies endpoint changes, and at what cost."""
     scenario = FleetScenario(
         burst_sizes=parse_sizes(bursts, "--bursts"),
         customers=parse_sizes(customers, "--customers"),
@@ -227,7 +247,7 @@
 
 
 def main() -> int:
-    """Run the command line; return its exit status."""
+    """Run the command line and return the exit status."""
     try:
         cli.main(prog_name="python -m scale", standalone_mode=False)
     except click.ClickException as error:
--- a/scale/control.py
+++ b/scale/control.py
@@ -1,4 +1,4 @@
-"""The control scenario: what one gateway's control work costs, by size of list, customers and changes."""
+"""The control scenario, which measures one gateway's control work by list size, customers and change rate."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ControlCase:
-    """One checkout at one size of list, and where its figures go."""
+    """One checkout at one list size, its figures, and the result that receives its timer lag."""
 
     program: str
     list_size: int
@@ -30,10 +30,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ControlScenario(ControlOptions):
-    """The scenario: each checkout at each size of list."""
+    """Measures each checkout at each list size."""
 
     async def run(self, progress: Console) -> Result:
-        """Measure each checkout at each size, in turns, as often as the options say.
+        """Measure each checkout at each list size in turn, as often as the options say.
 
         Raises:
             RunError: a process failed.
@@ -56,7 +56,7 @@
         return result
 
     def _summarize(self, result: Result, program: str, cases: list[ControlCase]) -> None:
-        """Enter the figures and goals of one checkout into the result."""
+        """Add one checkout's figures and goals to the result."""
         by_size = {case.list_size: case.figures for case in cases}
         if SMALL_LIST_SIZE in by_size:
             for figures in by_size.values():
@@ -97,7 +97,7 @@
         )
 
     async def _measure_processor_time(self, case: ControlCase) -> None:
-        """Measure processor time, memory and bytes, in a pass without the event-loop probe."""
+        """Measure processor time, memory and traffic, without the event-loop probe."""
         figures = case.figures
         async with Supervisor() as supervisor:
             bench = await self._start_bench(supervisor, case, probe_loop=False)
@@ -129,7 +129,7 @@
             figures.record("single_change_cpu_ms", max(0.0, cpu_ms - idle_cpu_ms))
 
     async def _run_steadily(self, bench: ControlBench, phase: SteadyPhase) -> dict[str, float]:
-        """Run a steady phase and return its figures."""
+        """Run a steady phase; return its processor time, memory and traffic."""
         measurement = await bench.run_steadily(
             change_rate=phase.change_rate,
             request_rate=self.request_rate if phase.customers else 0.0,
@@ -147,7 +147,7 @@
         }
 
     async def _measure_stalls(self, case: ControlCase) -> None:
-        """Measure how long the event loop stalls, in a pass with the event-loop probe."""
+        """Measure event-loop stalls, with the event-loop probe."""
         figures = case.figures
         async with Supervisor() as supervisor:
             bench = await self._start_bench(supervisor, case, probe_loop=True)
--- a/scale/control_bench.py
+++ b/scale/control_bench.py
@@ -1,4 +1,4 @@
-"""One measured gateway among its fake services, and the work that a control run gives it."""
+"""The measured gateway of a control run with its fake services, and the phases that it is measured in."""
 
 from __future__ import annotations
 
@@ -15,55 +15,63 @@
 from .supervisor import WorkerProcess
 
 SINGLE_CHANGE_RATE = 8.0
-"""Changes a second that come one at a time: the event loop is idle between them."""
+"""Single changes announced per second; at this rate the event loop is idle between two changes."""
 
 BURST_TIMEOUT_S = 60.0
-"""How long anything but a burst of single messages may take."""
+"""Time-out for applying single changes, a burst in one message or a backlog, in seconds."""
 
 RESPONSE_SLACK_S = 3.0
-"""How long a process may take to respond after the time-out of its work, before it counts as stalled."""
+"""Extra time, in seconds, for a worker to respond after its work timed out; then it counts as stalled."""
 
 
 @dataclass(kw_only=True)
 class ControlBench:
-    """A measured gateway, and the discovery that announces changes to it."""
+    """A measured gateway, and the fake discovery that announces changes to it."""
 
     environment: Environment
     gateway: WorkerProcess
     result: Result
     phase: str
-    """What the result calls the timer lag of the fakes."""
+    """Name of the phase under which the result keeps the timer lag of the fakes."""
 
     single_changes: int
-    """Changes that come one at a time."""
+    """Number of changes that are announced one at a time."""
 
     start_measurement: StartMeasurement
 
     async def measure_idle_cpu_ms(self) -> float:
-        """Return the processor time without changes, in as much time as lies between two single changes."""
+        """Return the processor time without changes, in ms, over the interval between two single changes."""
         await self._begin_phase()
         await asyncio.sleep(self.single_changes / SINGLE_CHANGE_RATE)
         measurement: ControlMeasurement = await self.gateway.call("end", wait_s=0.0)
         return measurement["cpu_ms"] / self.single_changes
 
     async def run_single_changes(self) -> ControlMeasurement:
-        """Announce changes one at a time."""
+        """Announce changes one at a time; return the gateway's measurement.
+
+        Raises:
+            RunError: the changes were not applied within `BURST_TIMEOUT_S`.
+        """
         await self._begin_phase()
         seconds = self.single_changes / SINGLE_CHANGE_RATE
         await self.environment.discovery.call("announce_evenly", rate=SINGLE_CHANGE_RATE, seconds=seconds)
         return await self._announce_until_applied(await self._prepare_batch([]), BURST_TIMEOUT_S)
 
     async def run_burst(self, event_sizes: list[int]) -> ControlMeasurement:
-        """Announce watch events of so many changes each, written at once."""
+        """Announce watch events of the given sizes, in changes, in one write; return the measurement.
+
+        Raises:
+            RunError: the changes were not applied within `BURST_TIMEOUT_S`.
+        """
         batch_id = await self._prepare_batch(event_sizes)
         await self._begin_phase()
         return await self._announce_until_applied(batch_id, BURST_TIMEOUT_S)
 
     async def run_single_messages(self, message_count: int, timeout_s: float) -> ControlMeasurement:
-        """Announce so many watch events of one change each, written at once.
+        """Announce `message_count` watch events of one change each in one write; return the measurement.
 
-        Work that is not complete after `timeout_s`, or whose process no longer responds, took at least what
-        is returned.
+        If the work is not complete after `timeout_s`, or the process no longer responds, the returned values
+        are lower bounds.
         """
         batch_id = await self._prepare_batch([1] * message_count)
         await self._begin_phase()
@@ -82,7 +90,7 @@
     async def run_steadily(
         self, *, change_rate: float, request_rate: float, seconds: float
     ) -> SteadyMeasurement:
-        """Announce changes and send requests at even rates, each a second."""
+        """Announce changes and send requests, both at even rates per second; return the measurement."""
         await self.environment.begin()
         announce_call = self.environment.discovery.call_lasting(
             seconds, "announce_evenly", rate=change_rate, seconds=seconds
@@ -95,11 +103,11 @@
         return measurement
 
     async def wait_for_backlog(self) -> None:
-        """Wait until all announced changes are applied, so that none is measured in the next phase."""
+        """Wait until all announced changes are applied, so that the next phase measures none of them."""
         await self.run_burst([])
 
     async def read(self) -> dict[str, Any]:
-        """Return what the fakes counted, and note their timer lag."""
+        """Return the counts of the fakes, and record their timer lag in the result."""
         return await self.environment.read(self.result, self.phase)
 
     def _gateway_cpu_s(self) -> float:
@@ -107,7 +115,7 @@
         return float(times.user + times.system)
 
     async def _prepare_batch(self, event_sizes: list[int]) -> int:
-        """Prepare watch events and the marker's; return the batch's id."""
+        """Prepare watch events of the given sizes and the marker's event; return the batch id."""
         batch_id: int = await self.environment.discovery.call("prepare", counts=event_sizes, with_marker=True)
         return batch_id
 
@@ -117,7 +125,7 @@
         await self.gateway.call("begin", marker_host=marker_host)
 
     async def _announce_batch(self, batch_id: int, timeout_s: float) -> ControlMeasurement:
-        """Announce a batch; return what all took, up to the marker's application or the time-out."""
+        """Announce a batch; return the measurement until the marker is applied or the time-out passes."""
         await self.environment.discovery.call("announce", batch_id=batch_id)
         measurement: ControlMeasurement = await self.gateway.call(
             "end", wait_s=timeout_s, timeout_s=timeout_s + RESPONSE_SLACK_S
@@ -126,10 +134,10 @@
         return measurement
 
     async def _announce_until_applied(self, batch_id: int, timeout_s: float) -> ControlMeasurement:
-        """Announce a batch and wait until it is applied; return what all took.
+        """Announce a batch; return the measurement until it is applied.
 
         Raises:
-            RunError: it was not applied in time.
+            RunError: the batch was not applied within `timeout_s`.
         """
         measurement = await self._announce_batch(batch_id, timeout_s)
         if not measurement["is_complete"]:
--- a/scale/control_options.py
+++ b/scale/control_options.py
@@ -1,4 +1,4 @@
-"""The options of a control run, and what it needs of the machine."""
+"""Options of a control run, and the memory and processes that it needs."""
 
 from __future__ import annotations
 
@@ -8,51 +8,51 @@
 from .run_options import RunOptions
 
 PROCESSES = 4
-"""Processes of a run: the leading one, discovery, the counter and the measured gateway."""
+"""Processes of a control run: the main process, discovery, the counter and the measured gateway."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class SteadyPhase:
-    """A phase of steady work: changes a second, and the customers of the whole fleet."""
+    """A phase at constant rates: endpoint changes per second, and customers of the whole fleet."""
 
     change_rate: float = 0.0
     customers: int = 0
 
     @property
     def name(self) -> str:
-        """What tables and the JSON call it."""
+        """Name of the phase in the tables and the JSON result."""
         return f"{self.change_rate:g} changes/s, {self.customers:,} customers"
 
 
 @dataclass(frozen=True, kw_only=True)
 class ControlOptions(RunOptions):
-    """The options of a control run. Rates are per second; customers are those of the whole fleet."""
+    """Options of a control run. Rates are per second, and customers are those of the whole fleet."""
 
     list_sizes: tuple[int, ...]
-    """Backends in the endpoint list."""
+    """Sizes of the endpoint list, in backends."""
 
     change_rates: tuple[float, ...]
     customers: tuple[int, ...]
     request_rate: float
     fleet: int
-    """Gateways of the whole fleet."""
+    """Number of gateways in the whole fleet."""
 
     gateways_per_customer: int
     single_changes: int
     burst_size: int
     steady_s: float
-    """Length of each steady phase."""
+    """Duration of each steady phase, in seconds."""
 
     messages_timeout_s: float
-    """Time-out of the burst of single messages."""
+    """Time-out for applying the burst of messages with one change each, in seconds."""
 
     repeats: int
 
     def check(self) -> None:
-        """Check that this machine can carry these sizes.
+        """Check that the machine has the memory and allows the processes for these sizes.
 
         Raises:
-            UsageError: it cannot.
+            UsageError: the run needs too much memory or too many processes.
         """
         backends = max(self.list_sizes)
         customers = sum(
@@ -70,7 +70,7 @@
         machine.check_capacity(needed_mb, PROCESSES)
 
     def steady_phases(self) -> list[SteadyPhase]:
-        """Return changes without customers, then customers without changes."""
+        """Return the phases with changes and no customers, then those with customers and no changes."""
         with_changes = [SteadyPhase(change_rate=rate) for rate in self.change_rates]
         with_customers = [SteadyPhase(customers=count) for count in self.customers if count]
         return with_changes + with_customers
--- a/scale/control_report.py
+++ b/scale/control_report.py
@@ -1,4 +1,4 @@
-"""The tables of a control run."""
+"""Tables of a control run."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     ("memory at the end, MB", "end_rss_mb"),
     (f"memory over that with {SMALL_LIST_SIZE} backends, MB", "growth_mb"),
 )
-"""Titles of the table's rows, and the figures in them."""
+"""Title and figure name of each row of the control table."""
 
 STEADY_ROWS = (
     ("processor time, ms/s", "cpu_ms_per_s"),
@@ -38,11 +38,11 @@
     ("counter, bytes/s", "counter_bytes_per_s"),
     ("counter, calls per request", "calls_per_request"),
 )
-"""Titles and figures of each steady phase."""
+"""Title and figure name of each row that the steady table has for a steady phase."""
 
 
 def print_result(console: Console, result: Result) -> None:
-    """Print the figures by size of list, a column for each size and checkout."""
+    """Print the figures, with a column for each list size and checkout."""
     columns = {
         f"{size:,}{result.label(program)}": measured[str(size)]
         for size in result.options["list_sizes"]
@@ -52,7 +52,7 @@
 
 
 def control_table(result: Result, columns: dict[str, Any]) -> Table:
-    """Return the table of changes, bursts, starts and memory."""
+    """Return the table of single changes, bursts, startup and memory."""
     figures = list(columns.values())
     rows: list[list[object]] = [
         [title, *(format_summary(column[name]) for column in figures)]
--- a/scale/event_loop_probe.py
+++ b/scale/event_loop_probe.py
@@ -1,4 +1,4 @@
-"""How long the event loop stalls between two of its iterations."""
+"""A probe that measures how long each iteration of the event loop takes."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class EventLoopProbe:
-    """Runs in each iteration of the event loop and keeps the longest stalls."""
+    """Runs in each iteration of the event loop and records the longest stalls."""
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
@@ -17,11 +17,11 @@
     def _reset(self) -> None:
         self.max_stall_wall_ms = 0.0
         self.max_stall_cpu_ms = 0.0
-        self.update_stall_cpu_ms: list[float] = []  # of the stalls in which a part of the list was applied
+        self.update_stall_cpu_ms: list[float] = []  # iterations that applied a part of the list or a change
         self._has_update = False
 
     def begin(self) -> None:
-        """Forget all stalls and measure from here on."""
+        """Discard the recorded stalls and start measuring."""
         self._reset()
         self.restart_clocks()
         if not self._is_running:
@@ -33,11 +33,11 @@
         self._is_running = False
 
     def record_update(self) -> None:
-        """Mark the current iteration as one in which a part of the list was applied."""
+        """Mark the current iteration as one that applied a part of the list or a change."""
         self._has_update = True
 
     def restart_clocks(self) -> None:
-        """Leave out what has passed since the last iteration, because it is not the gateway's work."""
+        """Restart the clocks of the current iteration, which excludes time that is not the gateway's work."""
         self._iteration_wall_s = time.perf_counter()
         self._iteration_cpu_s = time.thread_time()
 
--- a/scale/measured_gateway.py
+++ b/scale/measured_gateway.py
@@ -1,7 +1,7 @@
-"""The worker role that measures one hollow gateway: its control work, and its event-loop stalls.
+"""The worker role that measures the control work of one hollow gateway and its event-loop stalls.
 
-Processor time and stalls are measured in passes of their own, because the probe of the event loop takes
-processor time itself.
+Processor time and stalls are measured in separate passes, because the event-loop probe itself takes processor
+time.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 from .machine import resident_mb
 
 SETTLE_S = 0.3
-"""How long to wait after the last watch event, for work that the program may have deferred."""
+"""Seconds to wait after the last watch event for work that the program may have deferred."""
 
 POLL_INTERVAL_S = 0.01
-"""Interval between two checks of whether the marker has been applied."""
+"""Seconds between two checks of whether the marker's change has been applied."""
 
 NO_MARKER = -1
-"""Backend id that matches no backend."""
+"""Marker id that matches no backend."""
 
 
 class MeasuredGateway:
-    """One gateway. With a probe its stalls are measured, without one its processor time."""
+    """Runs one hollow gateway, and measures its stalls if it has a probe, or else its processor time."""
 
     def __init__(self) -> None:
         self._gateway: HollowGateway | None = None
@@ -45,7 +45,8 @@
         gateway = self._gateway
         if gateway is None or not gateway.watch_events:
             return
-        # Only the first and last backend are compared: a search among thousands would be measured too.
+        # A search among thousands of backends would add to the measured time, so only the first and the last
+        # backend are compared.
         backend_ids = gateway.watch_events[-1].backend_ids
         if backend_ids and self._marker_id in (backend_ids[0], backend_ids[-1]):
             self._is_marker_applied = True
@@ -53,9 +54,9 @@
     async def start(
         self, config: dict[str, Any], probe_loop: bool, customers: dict[str, int]
     ) -> StartMeasurement:
-        """Read the whole list as at a start; return what that took.
+        """Start the gateway, which reads the whole list; return the measurement of the start.
 
-        `customers` are the fields of `CustomerPopulation`.
+        `customers` holds the fields of `CustomerPopulation`.
         """
         self._customers = Customers(CustomerPopulation(**customers))
         self._probe = EventLoopProbe() if probe_loop else None
@@ -68,7 +69,7 @@
         return {**measurement, "gc_ms": freeze_garbage_collector(), "rss_mb": resident_mb()}
 
     async def begin(self, marker_host: str = "") -> None:
-        """Measure from here on; `marker_host` is the backend whose change is announced last."""
+        """Start measuring; `marker_host` is the host of the backend whose change is announced last."""
         assert self._gateway is not None
         self._gateway.begin()
         self._cpu_readings_s.clear()
@@ -79,7 +80,7 @@
         self._cpu_at_begin_s = time.process_time()
 
     async def end(self, wait_s: float) -> ControlMeasurement:
-        """Wait until the marker is applied, at most `wait_s`; return what all work since `begin` took."""
+        """Wait up to `wait_s` until the marker is applied; return the measurement since `begin`."""
         deadline = time.monotonic() + wait_s
         while not self._is_marker_applied and time.monotonic() < deadline:
             await asyncio.sleep(POLL_INTERVAL_S)
@@ -89,7 +90,7 @@
         return self._end_phase(is_complete=self._is_marker_applied)
 
     def _search_for_marker(self) -> None:
-        """Search all events for the marker, once no more events come."""
+        """Search all watch events for the marker, once no event has come for `SETTLE_S`."""
         assert self._gateway is not None
         events = self._gateway.watch_events
         if self._is_marker_applied or not events or time.monotonic() - events[-1].applied_at <= SETTLE_S:
@@ -99,7 +100,7 @@
             self._probe.restart_clocks()
 
     async def run_steadily(self, request_rate: float, seconds: float) -> SteadyMeasurement:
-        """Send `request_rate` requests a second for so many seconds; return what all control work took."""
+        """Send requests at `request_rate` per second for `seconds`; return the measurement."""
         assert self._gateway is not None
         await self.begin()
         await send_requests([self._gateway], self._customers, rate=request_rate, seconds=seconds)
@@ -125,6 +126,6 @@
         }
 
     def close(self) -> None:
-        """Close the gateway."""
+        """Close the gateway, if it was started."""
         if self._gateway is not None:
             self._gateway.close()
