--- a/scale/__init__.py
+++ b/scale/__init__.py
@@ -1,5 +1,5 @@
-"""Scale runs: what the gateway's control work costs at the sizes of a large fleet.
+"""Scale runs, which measure the gateway's control work at large fleet sizes.
 
-The leading process only supervises: fake services, clients, hollow gateways and real ones are processes of
-their own. It never imports the program, so that one run can measure several checkouts of it.
+The main process only supervises: fake services, clients, hollow gateways and real gateways run in separate
+processes. It never imports the program, so that one run can measure several checkouts of it.
 """
--- a/scale/checkout.py
+++ b/scale/checkout.py
@@ -1,4 +1,4 @@
-"""Checkouts of the program, and which of them a process measures."""
+"""Checkouts of the program: checks, commits, and the import of the program from one of them."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 from .errors import RunError, UsageError
 
 PACKAGE = "gateway"
-"""The package of the measured program."""
+"""Name of the measured program's package."""
 
 REQUIRED_FILES = (f"{PACKAGE}/__init__.py", f"{PACKAGE}/__main__.py")
-"""Files that a folder must hold to count as a checkout."""
+"""Files that a folder must contain to be accepted as a checkout."""
 
 GIT_TIMEOUT_S = 10.0
-"""How long git may take to name a commit."""
+"""Time-out of each git command, in seconds."""
 
 
 def resolve_checkout(folder: str) -> Path:
     """Return the absolute path of a checkout.
 
     Raises:
-        UsageError: the folder holds no program.
+        UsageError: the folder lacks one of `REQUIRED_FILES`.
     """
     path = Path(folder).resolve()
     missing = [name for name in REQUIRED_FILES if not (path / name).is_file()]
@@ -34,7 +34,10 @@
 
 
 def describe_commit(folder: str) -> str:
-    """Return the short commit of a checkout, with a + where it has changes; empty where git names none."""
+    """Return the short commit hash of a checkout, or "" if git gives none.
+
+    A "+" follows the hash if the program has uncommitted changes.
+    """
     git = ["git", "-C", folder]
     try:
         head = subprocess.run(
@@ -50,7 +53,7 @@
 
 
 def prefer_checkout(folder: str) -> None:
-    """Make this process import the program from a checkout before any other place."""
+    """Put a checkout first in the module search path of this process."""
     sys.path.insert(0, folder)
 
 
@@ -58,7 +61,7 @@
     """Check that the program was imported from `folder`.
 
     Raises:
-        RunError: a module of it came from elsewhere.
+        RunError: a module of the program was imported from elsewhere.
     """
     for name, module in list(sys.modules.items()):
         origin = getattr(module, "__file__", None)
--- a/scale/command_options.py
+++ b/scale/command_options.py
@@ -1,4 +1,4 @@
-"""Option types of the command line, and the options that scenarios share."""
+"""Option types of the command line, and options that several commands share."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from .errors import UsageError
 
 MAX_NUMBER = 1e9
-"""Upper bound of the numbers in an option's list."""
+"""Upper bound, exclusive, of the numbers in a list option."""
 
 MAX_STALL_MS = 5_000
 
@@ -19,27 +19,27 @@
 
 
 class NumberList(click.ParamType[tuple[float, ...]]):
-    """An option's type: numbers with commas between them."""
+    """The type of an option whose value is a list of numbers separated by commas."""
 
     name = "N,N,..."
 
     def convert(
         self, value: Any, param: click.Parameter | None, ctx: click.Context | None
     ) -> tuple[float, ...]:
-        """Return the numbers; fail the command line where there is anything else."""
+        """Return the numbers; reject a value that is not a list of numbers in range."""
         if isinstance(value, tuple):
             return value
         try:
             numbers = tuple(float(item) for item in str(value).split(","))
         except ValueError:
-            self.fail(f"{value!r} is not a list of numbers with commas between", param, ctx)
+            self.fail(f"{value!r} is not a list of numbers separated by commas", param, ctx)
         if not all(0 <= number < MAX_NUMBER for number in numbers):
-            self.fail(f"{value!r} holds a number out of range", param, ctx)
+            self.fail(f"{value!r} contains a number that is negative or not below {MAX_NUMBER:g}", param, ctx)
         return numbers
 
 
 def common_options(command: Command) -> Command:
-    """Add the options that all scenarios have."""
+    """Add the options that all commands have."""
     options = [
         click.option("--seed", type=int, default=1, help="Seed of the run's random numbers."),
         click.option("--json", "json_file", metavar="FILE", help="Also write the result to this JSON file."),
@@ -49,8 +49,8 @@
             type=click.FloatRange(0, MAX_STALL_MS),
             default=0.0,
             metavar="MS",
-            help="Stall the fake discovery for this long in each measured phase, in milliseconds;"
-            " shows what a run prints whose fakes were late.",
+            help="Duration for which to stall the fake discovery in each measured phase, in milliseconds."
+            " A stall shows what a run prints if its fakes were late.",
         ),
     ]
     for option in reversed(options):
@@ -59,7 +59,7 @@
 
 
 def program_option(command: Command) -> Command:
-    """Add the option of scenarios that measure several checkouts in one run."""
+    """Add the option of commands that can measure several checkouts in one run."""
     return click.option(
         "--program",
         "programs",
@@ -71,21 +71,21 @@
 
 
 def resolve_checkouts(folders: tuple[str, ...]) -> tuple[str, ...]:
-    """Return the absolute path of each checkout, without repetitions.
+    """Return the absolute path of each checkout, without duplicates.
 
     Raises:
-        UsageError: a folder holds no program.
+        UsageError: a folder is not a checkout of the program.
     """
     return tuple(dict.fromkeys(str(resolve_checkout(folder)) for folder in folders))
 
 
 def parse_sizes(numbers: tuple[float, ...], option: str) -> tuple[int, ...]:
-    """Return the distinct sizes that an option names.
+    """Return the distinct sizes in the value of an option.
 
     Raises:
-        UsageError: one is not a whole number from 1 on.
+        UsageError: there is no size, or one is not a whole number of at least 1.
     """
     if not numbers or any(number < 1 or number != int(number) for number in numbers):
         given = ",".join(f"{number:g}" for number in numbers)
-        raise UsageError(f"{option} {given}: sizes are whole numbers from 1 on")
+        raise UsageError(f"{option} {given}: sizes must be whole numbers of at least 1")
     return tuple(dict.fromkeys(map(int, numbers)))
--- a/scale/errors.py
+++ b/scale/errors.py
@@ -1,21 +1,21 @@
 """Errors of a scale run.
 
-They don't share the gateway's base class, because the leading process never imports the measured program.
+They don't share the gateway's base class, because the main process never imports the measured program.
 """
 
 from __future__ import annotations
 
 
 class ScaleError(Exception):
-    """Base class of the errors that a scale run raises on purpose."""
+    """Base class of the errors that a scale run raises."""
 
 
 class UsageError(ScaleError):
-    """The command line names a run that this machine or this tool cannot carry out."""
+    """The command line requests a run that this machine or this tool does not support."""
 
 
 class RunError(ScaleError):
-    """A process of the run failed, so the run has no result."""
+    """The run failed and has no result, for example because one of its processes failed."""
 
 
 class CallTimeoutError(RunError):
@@ -23,4 +23,4 @@
 
 
 class ProtocolError(RunError):
-    """A measured gateway sent a fake service what its protocol does not allow."""
+    """A measured gateway sent a fake service a message that the protocol does not allow."""
--- a/scale/figures.py
+++ b/scale/figures.py
@@ -1,4 +1,4 @@
-"""The figures that worker processes report to the leading process, as they travel in JSON."""
+"""Types of the results that worker processes send to the main process in JSON."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class LatencySummary(TypedDict):
-    """Percentiles of a latency histogram."""
+    """Number of latencies in a histogram, and their percentiles and maximum in milliseconds."""
 
     count: int
     p50_ms: float
@@ -15,7 +15,7 @@
 
 
 class RepeatSummary(TypedDict):
-    """Repeated measurements of one figure, in the figure's unit."""
+    """Summary of the repeated measurements of one figure, in the figure's unit."""
 
     min: float
     median: float
@@ -23,7 +23,7 @@
 
 
 class LoadSummary(TypedDict):
-    """What became of the requests of one run of the clients."""
+    """Outcomes and latencies of the requests in one run of the clients."""
 
     sent: int
     unsent: int
@@ -32,11 +32,11 @@
     failed: int
     latency: LatencySummary
     added_latency: LatencySummary
-    """The part of the latency that the gateway added to the backend's."""
+    """The latency that the gateway added to the backend's."""
 
 
 class LaunchedGatewayInfo(TypedDict):
-    """A real gateway that listens."""
+    """Process id and port of a real gateway that listens."""
 
     pid: int
     port: int
@@ -50,7 +50,7 @@
 
 
 class HollowFigures(TypedDict):
-    """What the hollow gateways of one process took in a measured phase."""
+    """Processor time, memory and requests of one process's hollow gateways in a measured phase."""
 
     cpu_s: float
     seconds: float
@@ -60,16 +60,16 @@
 
 
 class Announcement(TypedDict):
-    """When endpoint changes were sent, in seconds of the monotonic clock, and the hosts they change."""
+    """Time at which endpoint changes were sent, in seconds of the monotonic clock, and the changed hosts."""
 
     at: float
     hosts: list[str]
 
 
 class ControlMeasurement(TypedDict):
-    """What one gateway's control work took; which times there are depends on the pass.
+    """Measurement of one gateway's control work.
 
-    A pass without the event-loop probe reports processor time, one with it reports stalls.
+    A pass without the event-loop probe reports processor times, and a pass with the probe reports stalls.
     """
 
     is_complete: bool
@@ -77,16 +77,16 @@
 
     cpu_ms: NotRequired[float]
     update_cpu_ms: NotRequired[list[float]]
-    """Processor time between two parts of a list, or two changes."""
+    """Processor time between each two consecutive parts of a list or changes."""
 
     max_stall_cpu_ms: NotRequired[float]
     max_stall_wall_ms: NotRequired[float]
     update_stall_cpu_ms: NotRequired[list[float]]
-    """Stalls in which a part of the list, or a change, was applied."""
+    """Processor time of each stall in which a part of the list or a change was applied."""
 
 
 class StartMeasurement(ControlMeasurement):
-    """What reading the whole endpoint list at a start took."""
+    """Measurement of a start, at which a gateway reads the whole endpoint list."""
 
     gc_ms: float
     """Wall time of the garbage collection that ends a start."""
@@ -95,7 +95,7 @@
 
 
 class SteadyMeasurement(ControlMeasurement):
-    """What a phase of steady work took."""
+    """Measurement of a steady phase."""
 
     sent: int
     served: int
--- a/scale/histogram.py
+++ b/scale/histogram.py
@@ -1,4 +1,4 @@
-"""Histograms of latencies, how late an event loop runs, and summaries of repeated measurements."""
+"""Latency histograms, the timer lag of an event loop, and summaries of repeated measurements."""
 
 from __future__ import annotations
 
@@ -12,21 +12,20 @@
 from .figures import LatencySummary, RepeatSummary
 
 MAX_LATENCY_US = 600_000_000
-"""Highest latency that the histogram resolves, in microseconds: ten minutes."""
+"""Highest latency that the histogram can hold, in microseconds: ten minutes."""
 
 SIGNIFICANT_DIGITS = 3
-"""Decimal digits to which the histogram resolves a latency."""
+"""Significant decimal digits that the histogram keeps of a latency."""
 
 LAG_TIMER_INTERVAL_S = 0.005
-"""Interval between two timers of a lag meter."""
-
+"""Delay of each timer of a timer lag meter, in seconds."""
 
 SUMMARY_DECIMALS = 4
-"""Decimal places of a summary of repeats."""
+"""Decimal places of the values in a summary of repeats."""
 
 
 class LatencyHistogram:
-    """A histogram of latencies in milliseconds, with three significant digits and from a microsecond on."""
+    """A histogram of latencies in milliseconds, from one microsecond up, with three significant digits."""
 
     def __init__(self) -> None:
         self._histogram = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
@@ -34,17 +33,17 @@
         self._max_ms = 0.0
 
     def record(self, latency_ms: float) -> None:
-        """Add one latency."""
+        """Add a latency in milliseconds."""
         self._count += 1
         self._max_ms = max(self._max_ms, latency_ms)
         self._histogram.record_value(min(MAX_LATENCY_US, max(1, round(latency_ms * 1000))))
 
     def percentile(self, percent: float) -> float:
-        """Return a percentile in milliseconds; 0 where nothing was recorded."""
+        """Return a percentile in milliseconds, or 0 if no latency was recorded."""
         return float(self._histogram.get_value_at_percentile(percent)) / 1000 if self._count else 0.0
 
     def summary(self) -> LatencySummary:
-        """Return the number of latencies and their percentiles, rounded to a microsecond."""
+        """Return the number of latencies, and their percentiles and maximum rounded to a microsecond."""
         return {
             "count": self._count,
             "p50_ms": round(self.percentile(50), 3),
@@ -54,7 +53,7 @@
 
 
 class TimerLagMeter:
-    """How late the timers of the running event loop fire, over all measured phases."""
+    """Measures how late the timers of the running event loop fire, over all measured phases."""
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
@@ -72,23 +71,23 @@
         self._schedule()
 
     def begin(self) -> None:
-        """Measure from here on."""
+        """Start a measured phase."""
         self._is_measuring = True
         self._handle.cancel()
         self._schedule()
 
     def read(self) -> LatencySummary:
-        """Stop measuring; return the lags of all measured phases so far."""
+        """End the measured phase; return the summary of the lags in all measured phases."""
         self._is_measuring = False
         return self._lags.summary()
 
     def close(self) -> None:
-        """Cancel the timer."""
+        """Cancel the pending timer."""
         self._handle.cancel()
 
 
 def summarize(values: Sequence[float]) -> RepeatSummary:
-    """Return the summary of measured values, in their own unit; all 0 where there are none."""
+    """Return the summary of measured values in their own unit, with all values 0 if there are none."""
     values = values or [0.0]
     return {
         "min": round(min(values), SUMMARY_DECIMALS),
@@ -98,5 +97,5 @@
 
 
 def nearest_rank(ordered: Sequence[float], percent: int) -> float:
-    """Return a percentile of a sorted sequence by the nearest-rank method."""
+    """Return a percentile of a sorted sequence, which must not be empty, by the nearest-rank method."""
     return ordered[max(0, -(-len(ordered) * percent // 100) - 1)]
--- a/scale/result.py
+++ b/scale/result.py
@@ -1,4 +1,4 @@
-"""The result of a run: figures, goals, the verdict, and the JSON file it goes to."""
+"""The result of a run: its figures, goals and verdict, and the JSON file that holds them."""
 
 from __future__ import annotations
 
@@ -18,59 +18,59 @@
 from .run_options import RunOptions
 
 MAX_LAG_P99_MS = 20.0
-"""Timer lag of a fake service, at the 99th percentile, above which a run has no verdict."""
+"""Highest 99th percentile of the timer lag of a fake service or the clients in a run with a verdict."""
 
 MAX_LAG_MS = 250.0
-"""Timer lag of a fake service, at most, above which a run has no verdict."""
+"""Highest maximum of the timer lag of a fake service or the clients in a run with a verdict."""
 
 NO_GOAL_MEASURED = "no goal figure was measured"
 
 
 @dataclass(kw_only=True)
 class Goal:
-    """A limit for a figure: met where the measured value does not exceed it."""
+    """An upper limit for a figure."""
 
     name: str
     unit: str
     limit: float
     measured: float | None
-    """None: this run did not measure it."""
+    """Measured value of the figure, or None if the run did not measure it."""
 
     is_lower_bound: bool = False
-    """The measurement timed out, so the true value is at least the measured one."""
+    """Whether the measurement timed out, so that the true value is at least the measured one."""
 
     @property
     def is_met(self) -> bool | None:
-        """Whether the goal is met; None where it was not measured."""
+        """Whether the measured value is complete and within the limit; None if it was not measured."""
         if self.measured is None:
             return None
         return self.measured <= self.limit and not self.is_lower_bound
 
     def as_dict(self) -> dict[str, Any]:
-        """Return the goal as it goes into the JSON file."""
+        """Return the goal as the JSON result holds it."""
         return {**asdict(self), "is_met": self.is_met}
 
 
 @dataclass(kw_only=True)
 class Result:
-    """What a run measured, and under which conditions."""
+    """The measurements of a run, and the conditions that they were taken under."""
 
     scenario: str
     options: dict[str, Any]
     programs: dict[str, str]
-    """Commits of the measured checkouts, by folder."""
+    """Commit of each measured checkout, by its folder."""
 
     machine: dict[str, Any]
     measured: dict[str, Any] = field(default_factory=dict)
     goals: dict[str, list[Goal]] = field(default_factory=dict)
-    """Goals by the checkout that they were measured on."""
+    """Goals of each measured checkout, by its folder."""
 
     lags: dict[str, LatencySummary] = field(default_factory=dict)
     """Timer lag of the fake services and clients, by service and phase."""
 
     @classmethod
     def create(cls, scenario: str, options: RunOptions) -> Result:
-        """Return the result of a run that begins."""
+        """Return a result without measurements for a run that begins."""
         return cls(
             scenario=scenario,
             options=asdict(options),
@@ -79,13 +79,13 @@
         )
 
     def label(self, program: str) -> str:
-        """Return the letter that stands for a checkout in tables; empty where it is the only one."""
+        """Return the letter of a checkout in tables after a space, or "" if it is the only checkout."""
         if len(self.programs) == 1:
             return ""
         return f" {ascii_uppercase[list(self.programs).index(program)]}"
 
     def record_lag(self, phase: str, lag: LatencySummary) -> None:
-        """Note the timer lag of a fake; of several notes for one phase the largest values count."""
+        """Record a timer lag; of several records for one service and phase, keep the largest values."""
         previous = self.lags.get(phase, lag)
         self.lags[phase] = {
             "count": max(previous["count"], lag["count"]),
@@ -95,7 +95,7 @@
         }
 
     def no_verdict_reason(self) -> str:
-        """Return why the run has no verdict; empty where it has one."""
+        """Return why the run has no verdict, or "" if it has one."""
         late = [
             f"{phase} ran late: {lag['p99_ms']:g} ms at the 99th percentile, {lag['max_ms']:g} ms at most"
             for phase, lag in self.lags.items()
@@ -108,7 +108,7 @@
         return ""
 
     def verdict(self) -> str | None:
-        """Return `met` or `not met`, over all measured goals; None where the run has no verdict."""
+        """Return `met` or `not met` for all measured goals together, or None if the run has no verdict."""
         if self.no_verdict_reason():
             return None
         return "not met" if any(goal.is_met is False for goal in self._all_goals()) else "met"
@@ -117,7 +117,7 @@
         return [goal for goals in self.goals.values() for goal in goals]
 
     def as_dict(self) -> dict[str, Any]:
-        """Return the result as it goes into the JSON file."""
+        """Return the result as the JSON file holds it."""
         return {
             "scenario": self.scenario,
             "options": self.options,
@@ -132,15 +132,15 @@
 
 
 def goals_as_dict(goals: Mapping[str, list[Goal]]) -> dict[str, list[dict[str, Any]]]:
-    """Return goals by checkout as they go into the JSON file."""
+    """Return the goals of each checkout as the JSON file holds them."""
     return {program: [goal.as_dict() for goal in program_goals] for program, program_goals in goals.items()}
 
 
 class ResultFile:
-    """The JSON file of a run, checked before the run begins."""
+    """The JSON file of a run. Whether it can be written is checked before the run begins."""
 
     def __init__(self, path: str | None) -> None:
-        """None: there is no file.
+        """Check that the file can be written; without a `path` no result is written.
 
         Raises:
             UsageError: the file cannot be written.
@@ -150,10 +150,10 @@
             check_writable(self._path)
 
     def write(self, result: Result) -> None:
-        """Write the result.
+        """Write the result to the file, if there is one.
 
         Raises:
-            RunError: the file cannot be written after all.
+            RunError: the file could be written when the run began, but no longer.
         """
         if self._path is None:
             return
@@ -164,10 +164,10 @@
 
 
 def check_writable(path: Path) -> None:
-    """Check that a result file can be written, without writing it.
+    """Check that a result file can be written, without writing to it.
 
     Raises:
-        UsageError: it cannot.
+        UsageError: the file cannot be written.
     """
     if path.is_dir():
         raise UsageError(f"--json {path}: cannot be written, it is a folder")
--- a/scale/run_options.py
+++ b/scale/run_options.py
@@ -1,4 +1,4 @@
-"""What the command line chooses for a run, whatever the scenario."""
+"""Options that the runs of all scenarios have."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RunOptions:
-    """The options that all scenarios share."""
+    """Base class of the options of each scenario."""
 
     programs: tuple[str, ...]
-    """Checkouts of the program to measure."""
+    """Folders of the checkouts to measure."""
 
     seed: int
     """Seed of the run's random numbers."""
 
     stall_ms: float = 0.0
-    """How long the fake discovery is stalled in each measured phase."""
+    """How long the fake discovery is stalled in each measured phase, in milliseconds."""
--- a/scale/runner.py
+++ b/scale/runner.py
@@ -1,4 +1,4 @@
-"""Runs a scenario until it is complete or interrupted, and delivers its result."""
+"""Runs a scenario until it is complete or interrupted, and writes and prints its result."""
 
 from __future__ import annotations
 
@@ -12,30 +12,30 @@
 from .result import Result, ResultFile
 
 ResultPrinter = Callable[[Console, Result], None]
-"""Prints the result of a scenario for people."""
+"""Function that prints the result of a scenario to a console."""
 
 INTERRUPT_SIGNALS = (signal.SIGINT, signal.SIGTERM)
-"""Signals that end a run early, in order and with all its processes."""
+"""Signals that interrupt a run, which then stops all its processes."""
 
 NON_TERMINAL_WIDTH = 150
-"""Width of a table that goes to a file or a pipe."""
+"""Width of the output in columns if it goes to a file or a pipe."""
 
 
 class Scenario(Protocol):
-    """What a command runs."""
+    """The interface of a scenario that a command runs."""
 
     def check(self) -> None:
-        """Raise UsageError for sizes that this machine cannot carry."""
+        """Raise UsageError if the sizes need more resources than a run may use."""
 
     async def run(self, progress: Console) -> Result:
-        """Measure; raise RunError where a process fails."""
+        """Measure and return the result; raise RunError if a process fails."""
 
 
 async def run_interruptibly(scenario: Scenario, progress: Console) -> Result:
-    """Run a scenario until it is complete or a signal cancels it; all its processes have exited either way.
+    """Run a scenario until it is complete or a signal cancels it; either way all its processes have exited.
 
-    The handlers replace the inherited dispositions: a shell without job control starts background jobs with
-    SIGINT ignored, and asyncio's own handler leaves an ignored SIGINT ignored.
+    The signal handlers replace the inherited dispositions: a shell without job control starts background
+    jobs with SIGINT ignored, and asyncio's own handler leaves an ignored SIGINT ignored.
     """
     task = asyncio.current_task()
     assert task is not None
@@ -46,7 +46,7 @@
 
 
 def run_scenario(scenario: Scenario, print_result: ResultPrinter, json_file: str | None) -> None:
-    """Check and run a scenario, write its JSON and print its result."""
+    """Check and run a scenario, write its JSON file and print its result."""
     scenario.check()
     result_file = ResultFile(json_file)
     progress = Console(stderr=True, highlight=False)
--- a/scale/tables.py
+++ b/scale/tables.py
@@ -1,4 +1,4 @@
-"""Results as tables for people."""
+"""Tables of a result for the terminal."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from .result import NO_GOAL_MEASURED, Result
 
 GOAL_STATUS_LABELS: Mapping[bool | None, str] = {True: "yes", False: "NO", None: "-"}
-"""What the column of met goals shows; None is a goal that was not measured."""
+"""Text of the "met" column for each status of a goal; None means that the goal was not measured."""
 
 MIN_VALUE_WITHOUT_DECIMALS = 1000
-"""Floating-point values from here on are shown as whole numbers."""
+"""Floating-point values of at least this magnitude are shown without decimal places."""
 
 
 def format_value(value: object) -> str:
-    """Return a measured value as a table shows it."""
+    """Return the text of a measured value in a table."""
     if value is None:
         return "-"
     if isinstance(value, float):
@@ -27,7 +27,7 @@
 
 
 def format_summary(summary: RepeatSummary) -> str:
-    """Return a median, with the least and the greatest value beside it where they differ."""
+    """Return the text of a median, followed by the minimum and maximum if these differ."""
     median = format_value(summary["median"])
     if summary["min"] == summary["max"]:
         return median
@@ -35,7 +35,7 @@
 
 
 def make_table(title: str, columns: Sequence[str], rows: Sequence[Sequence[object]]) -> Table:
-    """Return a table whose first column names the rows."""
+    """Return a table whose first column holds the titles of the rows."""
     table = Table(title=title, title_justify="left")
     for index, column in enumerate(columns):
         table.add_column(column, justify="right" if index else "left")
@@ -45,7 +45,7 @@
 
 
 def goals_table(result: Result) -> Table | None:
-    """Return the table of the measured goals, None where there is none."""
+    """Return the table of the measured goals, or None if no goal was measured."""
     rows = [
         (
             goal.name + result.label(program),
@@ -62,7 +62,7 @@
 
 
 def verdict_line(result: Result) -> str | None:
-    """Return the verdict or why there is none; None where the run measured no goal."""
+    """Return the verdict or why there is none, or None if the run measured no goal."""
     reason = result.no_verdict_reason()
     if reason == NO_GOAL_MEASURED:
         return None
--- a/tests/scale/scale_process.py
+++ b/tests/scale/scale_process.py
@@ -1,4 +1,4 @@
-"""Runs `python -m scale` in a process of its own, and finds every process that it leaves."""
+"""Runs `python -m scale` as a subprocess, and finds all processes that belong to the run."""
 
 from __future__ import annotations
 
@@ -19,38 +19,38 @@
 import psutil
 
 ROOT = Path(__file__).parents[2]
-"""The checkout of the program that the tests belong to."""
+"""Root folder of the checkout that contains these tests."""
 
 RUN_ID_VARIABLE = "SCALE_TEST_RUN_ID"
-"""Environment variable that all processes of a run inherit."""
+"""Environment variable that identifies a run; all processes of the run inherit it."""
 
 READY_LINE = "ready: "
-"""Beginning of the progress line that a run prints once all its processes are up."""
+"""Prefix of the progress line that a run prints once all its processes have started."""
 
 POLL_INTERVAL_S = 0.02
 
 SignalDispositions = Mapping[signal.Signals, signal.Handlers]
-"""How a process treats signals: by default, or not at all."""
+"""How a process handles each signal: `SIG_DFL` for the default action, or `SIG_IGN` to ignore it."""
 
 UNCHANGED_DISPOSITIONS: SignalDispositions = MappingProxyType({})
 
 
 class RunOutput(NamedTuple):
-    """What a run printed."""
+    """Output of a run."""
 
     stdout: str
     stderr: str
 
 
 class CompletedRun(NamedTuple):
-    """The JSON result of a complete run, and what it printed."""
+    """JSON result and standard output of a complete run."""
 
     result: dict[str, Any]
     stdout: str
 
 
 class ScaleProcess:
-    """`python -m scale`, and the processes that it started."""
+    """The main process of a run, which is `python -m scale`, and the processes that the run starts."""
 
     def __init__(self, *args: str, dispositions: SignalDispositions) -> None:
         self._run_id = uuid.uuid4().hex
@@ -66,7 +66,7 @@
 
     @property
     def exit_status(self) -> int | None:
-        """Exit status of the leading process, None while it runs."""
+        """Exit status of the main process, or None while it runs."""
         return self._process.returncode
 
     def live_processes(self) -> list[psutil.Process]:
@@ -79,26 +79,26 @@
         return live
 
     def wait_until_ready(self) -> list[psutil.Process]:
-        """Wait until all processes are up, and return them."""
+        """Wait until all processes of the run have started, and return them."""
         assert self._process.stderr is not None
         assert any(line.startswith(READY_LINE) for line in self._process.stderr)
         return self.live_processes()
 
     def wait_until_all_exit(self) -> None:
-        """Wait until no process is left; the test's time-out ends a wait that never does."""
+        """Wait until all processes of the run have exited; only the test's time-out limits the wait."""
         while self.live_processes():
             time.sleep(POLL_INTERVAL_S)
 
     def send_signal(self, signum: signal.Signals) -> None:
-        """Send a signal to the leading process alone."""
+        """Send a signal to the main process only."""
         self._process.send_signal(signum)
 
     def finish(self) -> RunOutput:
-        """Wait until the leading process exits, and return what it printed."""
+        """Wait until the main process exits, and return its output."""
         return RunOutput(*self._process.communicate())
 
     def kill_all(self) -> None:
-        """Kill what is left of the run."""
+        """Kill the remaining processes of the run."""
         for process in self.live_processes():
             with contextlib.suppress(psutil.Error):
                 process.kill()
@@ -106,7 +106,7 @@
 
 
 def set_dispositions(dispositions: SignalDispositions) -> None:
-    """Set how this process treats signals; the program that it executes next inherits that."""
+    """Set the signal dispositions of this process, which the program that it executes next inherits."""
     for signum, disposition in dispositions.items():
         signal.signal(signum, disposition)
 
@@ -115,7 +115,7 @@
 def start_scale(
     *args: str, dispositions: SignalDispositions = UNCHANGED_DISPOSITIONS
 ) -> Iterator[ScaleProcess]:
-    """Start a run, which inherits these dispositions of signals; kill what is left of it afterwards."""
+    """Start a run with these signal dispositions; kill its remaining processes when the context ends."""
     run = ScaleProcess(*args, dispositions=dispositions)
     try:
         yield run
@@ -124,7 +124,7 @@
 
 
 def run_to_completion(folder: Path, *args: str) -> CompletedRun:
-    """Run a scenario to its end; check that it succeeds and leaves no process."""
+    """Run a scenario to its end; check that it succeeds and that all its processes have exited."""
     result_file = folder / "result.json"
     with start_scale(*args, "--json", str(result_file)) as run:
         output = run.finish()
--- a/tests/scale/test_result.py
+++ b/tests/scale/test_result.py
@@ -1,4 +1,4 @@
-"""The verdict of a run."""
+"""Tests of the verdict of a run."""
 
 from __future__ import annotations
 
--- a/tests/scale/test_scale.py
+++ b/tests/scale/test_scale.py
@@ -1,4 +1,4 @@
-"""Complete scale runs: what they measure, what they reject, and that they leave no process."""
+"""Complete scale runs: their results, the errors that they report, and the exit of all their processes."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 LONG_QUICKSTART = ("quickstart", "--seconds", "600")
 
 QUICKSTART_PROCESSES = 9
-"""The leading process, three of fakes, the clients, the launcher and its three gateways."""
+"""Processes of a quickstart: the main process, three of fakes, the clients, the launcher, three gateways."""
 
 SLOWER_DISPATCHER = """
 
@@ -100,13 +100,13 @@
 
 
 class Comparison(NamedTuple):
-    """A control run of this checkout and of a slower one."""
+    """A control run that measured this checkout and a slower one."""
 
     run: CompletedRun
     slower_checkout: Path
 
     def figures(self, checkout: Path) -> dict[str, Any]:
-        """Return what a checkout took at the one size of list."""
+        """Return the figures of a checkout at the only list size of the run."""
         figures: dict[str, Any] = self.run.result["measured"][str(checkout)]["40"]
         return figures
 
@@ -120,7 +120,7 @@
 
 
 def copy_slower_checkout(checkout: Path) -> Path:
-    """Copy the program to a checkout that takes much longer over each change of the endpoint list."""
+    """Copy the program to a new checkout, and make its dispatcher apply endpoint changes much more slowly."""
     ignored = shutil.ignore_patterns("__pycache__")
     shutil.copytree(ROOT / "gateway", checkout / "gateway", ignore=ignored)
     dispatcher = checkout / "gateway" / "network" / "dispatcher" / "dispatcher.py"
