--- a/scale/control_figures.py
+++ b/scale/control_figures.py
@@ -28,7 +28,7 @@
 """Goal: highest processor time of one change."""
 
 MAX_CHANGE_RATIO = 2.0
-"""Goal: highest ratio of the processor time of one change with the target list to the medium list."""
+"""Goal: highest processor time of one change with the target list, divided by that with the medium list."""
 
 MAX_BURST_STALL_MS = 2.0
 """Goal: longest event-loop stall, in processor time, from a burst in one watch event."""
@@ -119,7 +119,7 @@
         return float(figures[name]["median"]) if name in figures else None
 
     def change_ratio(self) -> float | None:
-        """Return the ratio of the processor time of one change with the target list to the medium list."""
+        """Return the ratio of the processor times of one change with the target list and the medium list."""
         target_ms = self.median(TARGET_LIST_SIZE, "single_change_cpu_ms")
         medium_ms = self.median(MEDIUM_LIST_SIZE, "single_change_cpu_ms")
         if target_ms is None or medium_ms is None:
--- a/scale/control_options.py
+++ b/scale/control_options.py
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class SteadyPhase:
-    """A phase at constant rates: endpoint changes per second, and customers of the whole fleet."""
+    """A phase with a constant rate of changes per second and a number of customers of the whole fleet."""
 
     change_rate: float = 0.0
     customers: int = 0
--- a/scale/event_loop_probe.py
+++ b/scale/event_loop_probe.py
@@ -37,7 +37,7 @@
         self._has_update = True
 
     def restart_clocks(self) -> None:
-        """Restart the clocks of the current iteration, which excludes time that is not the gateway's work."""
+        """Restart the clocks of the current iteration, to exclude time that is not the gateway's work."""
         self._iteration_wall_s = time.perf_counter()
         self._iteration_cpu_s = time.thread_time()
 
--- a/scale/figures.py
+++ b/scale/figures.py
@@ -77,7 +77,7 @@
 
     cpu_ms: NotRequired[float]
     update_cpu_ms: NotRequired[list[float]]
-    """Processor time between each two consecutive parts of a list or changes."""
+    """Processor time from each applied part of a list, or change, to the next one."""
 
     max_stall_cpu_ms: NotRequired[float]
     max_stall_wall_ms: NotRequired[float]
--- a/scale/machine.py
+++ b/scale/machine.py
@@ -18,7 +18,7 @@
 """Largest number of processes that a run may have."""
 
 SUPPORT_PROCESSES = 6
-"""Processes besides the gateways: the main process, three of fakes, the clients and the launcher."""
+"""Processes besides the gateways: the main process, three of fake services, the clients and the launcher."""
 
 PROCESS_MB = 35.0
 """Memory of a process that has imported the program and holds no endpoint list, rounded up, in MB."""
@@ -42,7 +42,7 @@
 """Temporary memory that a process needs to read a list, as a multiple of the list's size on the wire."""
 
 MAX_CONCURRENT_SNAPSHOTS = 64
-"""Largest number of snapshots that the fake discovery has in flight at once."""
+"""Largest number of snapshots in flight that the memory estimate of the fake discovery counts."""
 
 NON_CONNECTION_DESCRIPTORS = 64
 """File descriptors that a process uses for other things than connections."""
@@ -61,7 +61,7 @@
 def served_customers(
     customers: int, *, fleet: int, gateways_per_customer: int, request_rate: float, seconds: float
 ) -> float:
-    """Return an upper estimate of the number of customers that one gateway serves in a phase.
+    """Return an upper estimate of the number of the fleet's customers that one gateway serves in a phase.
 
     `request_rate` is the gateway's, per second: a gateway serves no more customers than it gets requests.
     """
--- a/scale/result.py
+++ b/scale/result.py
@@ -18,10 +18,10 @@
 from .run_options import RunOptions
 
 MAX_LAG_P99_MS = 20.0
-"""Highest 99th percentile of the timer lag of a fake service or the clients in a run with a verdict."""
+"""Limit on the 99th percentile of the timer lag of fakes and clients; above it, a run has no verdict."""
 
 MAX_LAG_MS = 250.0
-"""Highest maximum of the timer lag of a fake service or the clients in a run with a verdict."""
+"""Limit on the maximum of the timer lag of fakes and clients; above it, a run has no verdict."""
 
 NO_GOAL_MEASURED = "no goal figure was measured"
 
--- a/tests/scale/test_scale.py
+++ b/tests/scale/test_scale.py
@@ -23,7 +23,7 @@
 LONG_QUICKSTART = ("quickstart", "--seconds", "600")
 
 QUICKSTART_PROCESSES = 9
-"""Processes of a quickstart: the main process, three of fakes, the clients, the launcher, three gateways."""
+"""Processes of a run: the main process, three of fakes, the clients, the launcher and three gateways."""
 
 SLOWER_DISPATCHER = """
 
