--- a/scale/hollow_processes.py
+++ b/scale/hollow_processes.py
@@ -1,4 +1,4 @@
-"""Lets the leading process start and call the worker processes of the hollow gateways."""
+"""Lets the main process start and call the worker processes of the hollow gateways."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from .customers import CustomerPopulation
 from .environment import START_TIMEOUT_S
-from .figures import HollowFigures, HollowStartFigures
+from .figures import HollowFigures, HollowStartMemory
 from .propagation import AnnouncedChange
 from .supervisor import CALL_TIMEOUT_S, Supervisor, WorkerProcess
 
@@ -61,7 +61,7 @@
             )
             for worker, process_configs in zip(workers, configs_by_process, strict=True)
         )
-        figures: list[HollowStartFigures] = await asyncio.gather(*starts)
+        figures: list[HollowStartMemory] = await asyncio.gather(*starts)
         growth_mb = sum(process["after_mb"] - process["before_mb"] for process in figures)
         return cls(workers, growth_mb / len(configs))
 
--- a/scale/supervisor.py
+++ b/scale/supervisor.py
@@ -1,4 +1,4 @@
-"""Starts, calls and stops the worker processes of a run, in the leading process."""
+"""Starts, calls and stops the worker processes of a run, in the main process."""
 
 from __future__ import annotations
 
@@ -135,7 +135,7 @@
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
             stderr=stderr,
-            start_new_session=True,  # Ctrl-C reaches only the leading process, which stops all in order
+            start_new_session=True,  # Ctrl-C reaches only the main process, which stops all in order
             limit=MAX_LINE_BYTES,
         )
         worker = WorkerProcess(role, process, stderr)
--- a/scale/worker.py
+++ b/scale/worker.py
@@ -29,7 +29,7 @@
 
 
 class Role(Protocol):
-    """The role of a worker; the leading process calls its public coroutine methods by name."""
+    """The role of a worker; the main process calls its public coroutine methods by name."""
 
     def close(self) -> None:
         """Release the resources of the role; the process exits next."""
--- a/scale/worker_protocol.py
+++ b/scale/worker_protocol.py
@@ -1,4 +1,4 @@
-"""Messages between the leading process and its workers: one JSON object per line."""
+"""Messages between the main process and its workers: one JSON object per line."""
 
 from __future__ import annotations
 
