--- a/gateway/policy/backends.py
+++ b/gateway/policy/backends.py
@@ -40,11 +40,11 @@
 
     __slots__ = ("cell", "id", "in_flight", "scores", "started_at", "zone")
 
-    def __init__(self, entry: Endpoint) -> None:
-        self.id = entry.backend_id
+    def __init__(self, endpoint: Endpoint) -> None:
+        self.id = endpoint.backend_id
         self.in_flight = 0
         self.started_at = -1.0  # of its process
-        self.update(entry)
+        self.update(endpoint)
 
     def begin_attempt(self) -> None:
         """Count an attempt in flight."""
@@ -54,10 +54,10 @@
         """Count an attempt that is no longer in flight."""
         self.in_flight -= 1
 
-    def update(self, entry: Endpoint) -> None:
+    def update(self, endpoint: Endpoint) -> None:
         """Take over a new entry of the endpoint list; a new process starts without scores."""
-        if entry.started_at != self.started_at:
+        if endpoint.started_at != self.started_at:
             self.scores = BackendScores()
-        self.zone = entry.zone
-        self.cell = entry.cell
-        self.started_at = entry.started_at
+        self.zone = endpoint.zone
+        self.cell = endpoint.cell
+        self.started_at = endpoint.started_at
--- a/gateway/policy/endpoint_updates.py
+++ b/gateway/policy/endpoint_updates.py
@@ -32,17 +32,17 @@
             actions.append(SetTimer(self.watch_retry_ms, TimerToken(TimerKind.WATCH_ENDPOINTS)))
             return
         self.backends.apply(update)
-        self.admission.set_backend_count(len(self.backends.endpoints.records))
+        self.admission.set_backend_count(len(self.backends.endpoint_subset.records))
         self._schedule_rebuild(actions)
 
     def on_rebuild_timer(self, actions: Actions) -> None:
         """Do the next step of ordering a long list."""
         self.has_rebuild_timer = False
-        self.backends.endpoints.continue_rebuild()
+        self.backends.endpoint_subset.continue_rebuild()
         self._schedule_rebuild(actions)
 
     def _schedule_rebuild(self, actions: Actions) -> None:
         """Let waiting events be handled before the next step."""
-        if self.backends.endpoints.is_rebuilding and not self.has_rebuild_timer:
+        if self.backends.endpoint_subset.is_rebuilding and not self.has_rebuild_timer:
             self.has_rebuild_timer = True
             actions.append(SetTimer(0.0, TimerToken(TimerKind.BUILD_ORDER)))
--- a/gateway/policy/load_balancing.py
+++ b/gateway/policy/load_balancing.py
@@ -9,16 +9,16 @@
 from .retry_safety import may_run_on, must_not_run_again, required_cell
 from .settings import SafetyRules
 
-CHANCE_EXPONENT = 0.25
+RANDOM_FACTOR_EXPONENT = 0.25
 """Exponent of the random factor of a cost: a backend at half the cost is chosen sixteen times as often."""
 
-MAX_SCORED = 64
+SAMPLING_THRESHOLD = 64
 """Backends of the largest subset in which each choice computes the cost of all."""
 
 SAMPLE_SIZE = 32
 """Backends drawn at random from a larger subset, whose costs are computed."""
 
-MAX_WARMING_FAILURES = 0.5
+MAX_WARMING_FAILURE_PROBABILITY = 0.5
 """Failure probability from which a backend that is warming up is not chosen."""
 
 
@@ -35,8 +35,8 @@
 
     def pick(self, now: float, request: PendingRequest) -> Backend | None:
         """Draw a backend, those of low cost far more often; one that is warming up by a draw of its own."""
-        candidates = self.backends.endpoints.backends
-        if len(candidates) > MAX_SCORED:
+        candidates = self.backends.endpoint_subset.backends
+        if len(candidates) > SAMPLING_THRESHOLD:
             candidates = self.rng.sample(candidates, SAMPLE_SIZE)
         allowed = [b for b in candidates if may_run_on(now, request, b)]
         allowed = allowed or self.fallback_candidates(now, request)
@@ -46,7 +46,7 @@
             if backend is not None:
                 return backend
         expovariate = self.rng.expovariate
-        costs = [self.cost(now, b, request) * expovariate(1.0) ** CHANCE_EXPONENT for b in warm]
+        costs = [self.cost(now, b, request) * expovariate(1.0) ** RANDOM_FACTOR_EXPONENT for b in warm]
         return warm[costs.index(min(costs))] if warm else None
 
     def _draw_warming(self, now: float, request: PendingRequest, allowed: list[Backend]) -> Backend | None:
@@ -60,12 +60,12 @@
         if there are any.
         """
         backend = self.rng.choice(allowed)
-        fraction = self.slow_start_fraction(now, backend)
-        probability = fraction * min(1.0, fraction * self.rules.overload_multiple / 2)
-        if fraction >= 1 or self.rng.random() >= probability:
+        capacity_fraction = self.slow_start_fraction(now, backend)
+        probability = capacity_fraction * min(1.0, capacity_fraction * self.rules.overload_multiple / 2)
+        if capacity_fraction >= 1 or self.rng.random() >= probability:
             return None
         failure_probability = self.outliers.failure_probability(now, backend, request)
-        return backend if failure_probability < MAX_WARMING_FAILURES else None
+        return backend if failure_probability < MAX_WARMING_FAILURE_PROBABILITY else None
 
     def slow_start_fraction(self, now: float, backend: Backend) -> float:
         """The least fraction of its full capacity that a backend is sure to have, from 0 to 1."""
@@ -85,5 +85,5 @@
         """Backends outside the subset, for a request that none of the subset may serve."""
         if must_not_run_again(request):
             return []
-        outside = self.backends.sample_outside(self.rng, required_cell(request))
-        return [b for b in outside if may_run_on(now, request, b)]
+        sampled = self.backends.sample_ready(self.rng, required_cell(request))
+        return [b for b in sampled if may_run_on(now, request, b)]
--- a/gateway/policy/outlier_detection.py
+++ b/gateway/policy/outlier_detection.py
@@ -28,7 +28,7 @@
 MAX_SCORE_MEMORY_MS = 15_000.0
 """Largest time constant with which scores decay."""
 
-NEGLIGIBLE_FAILURES = 0.01
+NEGLIGIBLE_FAILURE_SCORE = 0.01
 """Failure score under which a backend counts as healthy for all classes and plans."""
 
 FAILURE_COST = 8.0
@@ -37,7 +37,7 @@
 MIN_TIMEOUT_RATIO = 2.0
 """Least attempt time-out, for a failing backend, in typical latencies."""
 
-FIRST_TIMEOUT_FRACTION = 0.4
+INITIAL_TIMEOUT_FRACTION = 0.4
 """Attempt time-out before a typical latency is known, as a fraction of the latency objective."""
 
 
@@ -45,7 +45,7 @@
     """Scores the backends by the outcomes of their attempts."""
 
     def __init__(self, backends: BackendTable, stats: ResponseStats) -> None:
-        self.endpoints = backends.endpoints
+        self.endpoint_subset = backends.endpoint_subset
         self.stats = stats
 
     def failure_probability(self, now: float, backend: Backend, request: PendingRequest) -> float:
@@ -55,16 +55,16 @@
         combined as if they were independent, given the score of all requests.
         """
         scores = backend.scores
-        if scores.failures.level < NEGLIGIBLE_FAILURES:
+        if scores.failures.level < NEGLIGIBLE_FAILURE_SCORE:
             return 0.0  # scores only decay; this spares the computation for healthy backends
-        of_all = self._decayed(now, scores.failures)
-        if of_all < NEGLIGIBLE_FAILURES:
+        overall_level = self._decayed(now, scores.failures)
+        if overall_level < NEGLIGIBLE_FAILURE_SCORE:
             return 0.0
-        of_class = scores.by_class.get(request.request_class.name)
-        of_plan = scores.by_plan.get(request.lease.plan.name)
-        if of_class is None or of_plan is None:
+        class_score = scores.by_class.get(request.request_class.name)
+        plan_score = scores.by_plan.get(request.lease.plan.name)
+        if class_score is None or plan_score is None:
             return 0.0
-        return min(1.0, self._decayed(now, of_class) * self._decayed(now, of_plan) / of_all)
+        return min(1.0, self._decayed(now, class_score) * self._decayed(now, plan_score) / overall_level)
 
     def expected_latency(self, now: float, backend: Backend) -> float:
         """Milliseconds that a response of a backend should take, before its queue and its failures."""
@@ -73,7 +73,7 @@
     def attempt_timeout(self, now: float, attempt: Attempt) -> float:
         """Milliseconds that a response may take before the attempt counts as lost."""
         if not self.stats.typical_ms:
-            return FIRST_TIMEOUT_FRACTION * attempt.request.request_class.latency_objective_ms
+            return INITIAL_TIMEOUT_FRACTION * attempt.request.request_class.latency_objective_ms
         failure_probability = self.failure_probability(now, attempt.backend, attempt.request)
         ratio = max(MIN_TIMEOUT_RATIO, MAX_LATENCY_RATIO / (1 + FAILURE_COST * failure_probability))
         return ratio * self.stats.typical_ms
@@ -95,19 +95,19 @@
         capped_ms = self.stats.cap(latency_ms)
         typical_ms = self.stats.typical_ms
         if not is_abandoned or capped_ms > typical_ms + excess_ms:  # the response would have taken longer
-            sample_ms = capped_ms - (typical_ms or latency_ms)
-            score.update(now, excess_ms + (sample_ms - excess_ms) * LATENCY_WEIGHT)
+            excess_sample_ms = capped_ms - (typical_ms or latency_ms)
+            score.update(now, excess_ms + (excess_sample_ms - excess_ms) * LATENCY_WEIGHT)
 
     def _record_failure(self, now: float, attempt: Attempt, *, is_failure: bool) -> None:
         scores = attempt.backend.scores
-        of_class = scores.by_class[attempt.request.request_class.name]
-        of_plan = scores.by_plan[attempt.request.lease.plan.name]
-        for score in (scores.failures, of_class, of_plan):
+        class_score = scores.by_class[attempt.request.request_class.name]
+        plan_score = scores.by_plan[attempt.request.lease.plan.name]
+        for score in (scores.failures, class_score, plan_score):
             level = self._decayed(now, score)
             score.update(now, level + (is_failure - level) * FAILURE_WEIGHT)
 
     def _decayed(self, now: float, score: Score) -> float:
         """The level of a score now; the scores of backends that are seldom used decay more slowly."""
-        gap_ms = len(self.endpoints.backends) * 1000 / max(self.stats.response_rate, 0.1)
+        gap_ms = len(self.endpoint_subset.backends) * 1000 / max(self.stats.response_rate, 0.1)
         memory_ms = max(MIN_SCORE_MEMORY_MS, min(MAX_SCORE_MEMORY_MS, SCORE_MEMORY_GAPS * gap_ms))
         return score.level * math.exp((score.updated_at - now) / memory_ms)
--- a/gateway/policy/policy.py
+++ b/gateway/policy/policy.py
@@ -62,7 +62,7 @@
     @property
     def subset(self) -> list[Backend]:
         """The backends that this gateway uses."""
-        return self.backends.endpoints.backends
+        return self.backends.endpoint_subset.backends
 
     def handle(self, now: float, event: events.Event) -> Actions:
         """Handle an event and return the actions that it leads to, in order."""
--- a/gateway/policy/ring.py
+++ b/gateway/policy/ring.py
@@ -36,8 +36,8 @@
         self.round_number = round_number
         self.has_cell_index = has_cell_index
         self.sort_keys: dict[int, bytes] = {}
-        self.backends_by_cell: dict[bytes, dict[int, None]] = {}  # by `CELL_BYTES`, in insertion order
-        self._sorted: SortedList[bytes] = SortedList()
+        self.backend_ids_by_cell: dict[bytes, dict[int, None]] = {}  # by `CELL_BYTES`, in insertion order
+        self._sorted_keys: SortedList[bytes] = SortedList()
 
     def __len__(self) -> int:
         """The number of backends in the ring."""
@@ -49,9 +49,9 @@
             return False
         sort_key = self.sort_key(backend_id, record)
         self.sort_keys[backend_id] = sort_key
-        self._sorted.add(sort_key)
+        self._sorted_keys.add(sort_key)
         if self.has_cell_index:
-            self.backends_by_cell.setdefault(record[CELL_BYTES], {})[backend_id] = None
+            self.backend_ids_by_cell.setdefault(record[CELL_BYTES], {})[backend_id] = None
         return True
 
     def discard(self, backend_id: int, record: Record) -> int | None:
@@ -59,23 +59,25 @@
         sort_key = self.sort_keys.pop(backend_id, None)
         if sort_key is None:
             return None
-        position = self._sorted.bisect_left(sort_key)
-        del self._sorted[position]
+        position = self._sorted_keys.bisect_left(sort_key)
+        del self._sorted_keys[position]
         if self.has_cell_index:
             cell = record[CELL_BYTES]
-            backend_ids = self.backends_by_cell[cell]
+            backend_ids = self.backend_ids_by_cell[cell]
             del backend_ids[backend_id]
             if not backend_ids:
-                del self.backends_by_cell[cell]
+                del self.backend_ids_by_cell[cell]
         return position
 
     def position(self, backend_id: int) -> int:
         """How many backends come before this one. Raises KeyError if it is not in the ring."""
-        return self._sorted.bisect_left(self.sort_keys[backend_id])
+        return self._sorted_keys.bisect_left(self.sort_keys[backend_id])
 
-    def backends_between(self, start: int, end: int) -> list[int]:
+    def backend_ids_between(self, start: int, end: int) -> list[int]:
         """The backends at the positions from `start` to before `end`."""
-        return [int.from_bytes(sort_key[HASH_SIZE:], "big") for sort_key in self._sorted.islice(start, end)]
+        return [
+            int.from_bytes(sort_key[HASH_SIZE:], "big") for sort_key in self._sorted_keys.islice(start, end)
+        ]
 
     def sort_key(self, backend_id: int, record: Record) -> bytes:
         """What the backend is sorted by; its id at the end makes the key unique."""
--- a/gateway/policy/subsetting.py
+++ b/gateway/policy/subsetting.py
@@ -42,12 +42,12 @@
 
 def assign_window(gateway_index: int, gateway_count: int, ready_count: int) -> Window:
     """The window of a gateway while `ready_count` backends are ready; a single window has no round."""
-    size = max(SUBSET_SIZE, MIN_GATEWAYS_PER_BACKEND * ready_count / gateway_count)
+    min_size = max(SUBSET_SIZE, MIN_GATEWAYS_PER_BACKEND * ready_count / gateway_count)
     # A power of two seldom changes, and with it the round and the permutation.
-    window_count: int = 2 ** max(0, math.floor(math.log2(max(1.0, ready_count / size))))
-    round_number, number = divmod(gateway_index, window_count)
-    start = ready_count * number // window_count
-    end = ready_count * (number + 1) // window_count
+    window_count: int = 2 ** max(0, math.floor(math.log2(max(1.0, ready_count / min_size))))
+    round_number, window_index = divmod(gateway_index, window_count)
+    start = ready_count * window_index // window_count
+    end = ready_count * (window_index + 1) // window_count
     return Window(round_number if window_count > 1 else None, start, end)
 
 
@@ -70,7 +70,7 @@
         self._create_backend = create_backend
         self._codec = RecordCodec()
         self._window_start = 0
-        self._pending: PendingSnapshot | None = None
+        self._pending_snapshot: PendingSnapshot | None = None
         self._rebuild: Rebuild | None = None
 
     @property
@@ -84,20 +84,20 @@
         Of a part, changes of listed backends are in force at once, new and missing backends with the last.
         """
         if update.kind is UpdateKind.DELTA:
-            self._pending = None  # a snapshot that is incomplete will not be completed
+            self._pending_snapshot = None  # a snapshot that is incomplete will not be completed
             for endpoint in update.endpoints:
                 self._apply_change(endpoint)
             self._correct_window()
             return
         if update.is_first:
-            self._pending = PendingSnapshot()
-        if self._pending is None:
+            self._pending_snapshot = PendingSnapshot()
+        if self._pending_snapshot is None:
             return
         for endpoint in update.endpoints:
-            self._add_to_snapshot(self._pending, endpoint)
+            self._add_to_snapshot(self._pending_snapshot, endpoint)
         if update.is_last:
-            self._replace_list(self._pending)
-            self._pending = None
+            self._replace_list(self._pending_snapshot)
+            self._pending_snapshot = None
         self._correct_window()
 
     def continue_rebuild(self, limit: int = REBUILD_STEP) -> None:
@@ -116,26 +116,28 @@
             self._start_rebuild()
             return
         self._window_start = window.start
-        self.backend_ids = self.ring.backends_between(window.start, window.end)
+        self.backend_ids = self.ring.backend_ids_between(window.start, window.end)
         self.backends = [self._create(backend_id) for backend_id in self.backend_ids]
 
-    def sample_outside(self, rng: random.Random, cell: tuple[str, int] | None = None) -> list[Endpoint]:
+    def sample_ready(self, rng: random.Random, cell: tuple[str, int] | None = None) -> list[Endpoint]:
         """Ready backends for a request that none of the subset may serve.
 
         Those of `cell` (zone and number) if cells are indexed; else all, or a random stretch of a long list.
         """
         records = self.records
         if cell is not None and self.ring.has_cell_index and self._rebuild is None:
-            found = list(self.ring.backends_by_cell.get(self._codec.cell_key(*cell), ()))
+            sampled_ids = list(self.ring.backend_ids_by_cell.get(self._codec.cell_key(*cell), ()))
         elif len(records) <= MAX_SAMPLE_SIZE:
-            found = sorted(records, key=lambda backend_id: records[backend_id][SERIAL_BYTES])
+            sampled_ids = sorted(records, key=lambda backend_id: records[backend_id][SERIAL_BYTES])
         elif self._rebuild is not None:
             start = rng.randrange(len(self._rebuild.backend_ids))
-            found = self._rebuild.backend_ids[start : start + MAX_SAMPLE_SIZE]
+            sampled_ids = self._rebuild.backend_ids[start : start + MAX_SAMPLE_SIZE]
         else:
             start = rng.randrange(max(1, len(self.ring) - MAX_SAMPLE_SIZE))
-            found = self.ring.backends_between(start, start + MAX_SAMPLE_SIZE)
-        return [self._codec.unpack(b, records[b]) for b in found if b in records and records[b][READY_BYTE]]
+            sampled_ids = self.ring.backend_ids_between(start, start + MAX_SAMPLE_SIZE)
+        return [
+            self._codec.unpack(b, records[b]) for b in sampled_ids if b in records and records[b][READY_BYTE]
+        ]
 
     def _create(self, backend_id: int) -> BackendT:
         return self._create_backend(self._codec.unpack(backend_id, self.records[backend_id]))
@@ -244,10 +246,10 @@
         dropped_count = max(0, start - self._window_start)
         del self.backend_ids[:dropped_count]
         del self.backends[:dropped_count]
-        for backend_id in reversed(self.ring.backends_between(start, self._window_start)):
+        for backend_id in reversed(self.ring.backend_ids_between(start, self._window_start)):
             self._insert_into_window(0, backend_id)
         self._window_start = start
         del self.backend_ids[end - start :]
         del self.backends[end - start :]
-        for backend_id in self.ring.backends_between(start + len(self.backend_ids), end):
+        for backend_id in self.ring.backend_ids_between(start + len(self.backend_ids), end):
             self._insert_into_window(len(self.backend_ids), backend_id)
--- a/tests/policy/test_load_balancing.py
+++ b/tests/policy/test_load_balancing.py
@@ -60,7 +60,7 @@
     assert backends_used(unlimited_harness, 5) == {2}
 
 
-def test_a_failed_watch_leaves_the_last_list_in_force() -> None:
+def test_a_failed_watch_keeps_the_last_endpoint_list() -> None:
     harness = PolicyHarness.without_quotas(polls_endpoints=True)
 
     harness.deliver(EndpointUpdate(UpdateKind.WATCH_FAILED, ()))
@@ -88,9 +88,11 @@
     subsets = [subset_ids(harness) for harness in fleet]
 
     assert all(8 <= len(subset) <= 16 for subset in subsets)
-    users = [sum(backend_id in subset for subset in subsets) for backend_id in range(backend_count)]
-    assert min(users) >= 0.6 * gateway_count * 8 / backend_count
-    assert max(users) <= 1.4 * gateway_count * 8 / backend_count
+    gateways_per_backend = [
+        sum(backend_id in subset for subset in subsets) for backend_id in range(backend_count)
+    ]
+    assert min(gateways_per_backend) >= 0.6 * gateway_count * 8 / backend_count
+    assert max(gateways_per_backend) <= 1.4 * gateway_count * 8 / backend_count
 
 
 def test_forty_gateways_use_few_backends_each_and_cover_all_evenly() -> None:
@@ -99,10 +101,10 @@
 
     subsets = [subset_ids(harness) for harness in fleet]
 
-    users = [sum(backend_id in subset for subset in subsets) for backend_id in range(60)]
+    gateways_per_backend = [sum(backend_id in subset for subset in subsets) for backend_id in range(60)]
     assert all(len(subset) <= 20 for subset in subsets)
-    assert min(users) >= 8
-    assert max(users) <= 12
+    assert min(gateways_per_backend) >= 8
+    assert max(gateways_per_backend) <= 12
 
 
 def test_a_subset_hardly_changes_with_new_backends() -> None:
@@ -113,8 +115,10 @@
         harness.deliver(delta(create_endpoint(60), create_endpoint(61), create_endpoint(62)))
 
     subsets_after = [subset_ids(harness) for harness in fleet]
-    common = [len(before & after) for before, after in zip(subsets_before, subsets_after, strict=True)]
-    assert sum(common) >= 0.8 * sum(map(len, subsets_before))
+    retained_counts = [
+        len(before & after) for before, after in zip(subsets_before, subsets_after, strict=True)
+    ]
+    assert sum(retained_counts) >= 0.8 * sum(map(len, subsets_before))
 
 
 def count_served(harness: PolicyHarness, request_count: int) -> int:
@@ -128,7 +132,7 @@
     return served
 
 
-def test_a_fleet_whose_backends_all_warm_up_serves_few_requests_and_then_all() -> None:
+def test_a_gateway_whose_backends_all_warm_up_serves_few_requests_and_then_all() -> None:
     started_at = 9_900.0  # 100 ms before the first request
     harness = PolicyHarness.without_quotas(
         [create_endpoint(backend_id, started_at=started_at) for backend_id in (1, 2, 3)]
@@ -160,8 +164,8 @@
             harness.end_attempt(attempt)
             attempts.append(attempt.backend_id)
 
-    fair_count = gateway_count * requests_per_gateway / backend_count
-    assert attempts.count(new_backend) <= SAFETY_RULES.initial_capacity * fair_count
+    mean_attempts_per_backend = gateway_count * requests_per_gateway / backend_count
+    assert attempts.count(new_backend) <= SAFETY_RULES.initial_capacity * mean_attempts_per_backend
 
 
 def test_a_new_backend_gets_few_attempts_until_it_has_warmed_up(unlimited_harness: PolicyHarness) -> None:
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -38,7 +38,7 @@
     return faulty_attempts
 
 
-def test_a_faulty_backend_is_ejected_and_later_used_again(unlimited_harness: PolicyHarness) -> None:
+def test_a_faulty_backend_is_avoided_and_later_used_again(unlimited_harness: PolicyHarness) -> None:
     harness = unlimited_harness
     serve_steadily(harness)
 
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -103,12 +103,12 @@
 
 
 @pytest.mark.parametrize("draw_work", [mean_work, uneven_work])
-@pytest.mark.parametrize(("scenario", "seeds"), SCENARIOS)
+@pytest.mark.parametrize(("scenario", "seed_count"), SCENARIOS)
 def test_all_gateways_together_keep_the_budget_of_a_backend_in_slow_start(
-    scenario: Scenario, seeds: int, draw_work: DrawWork
+    scenario: Scenario, seed_count: int, draw_work: DrawWork
 ) -> None:
     """Little load from each gateway may add up to an overload of a backend that is warming up."""
-    observations = [observe(scenario, seed, draw_work) for seed in range(1, seeds + 1)]
+    observations = [observe(scenario, seed, draw_work) for seed in range(1, seed_count + 1)]
 
     worst = max(observations, key=lambda observation: observation.budget_use)
     assert worst.budget_use <= 1.0, f"a restarted backend got {worst.budget_use:.2f} of its budget: {worst}"
--- a/tests/policy/test_subset_use.py
+++ b/tests/policy/test_subset_use.py
@@ -7,7 +7,7 @@
 import pytest
 
 from gateway.policy.actions import SetTimer
-from gateway.policy.backend_table import MAX_KNOWN_OUTSIDE
+from gateway.policy.backend_table import MAX_KNOWN_OUTSIDE_SUBSET
 from gateway.policy.backends import Backend
 from gateway.policy.events import (
     AttemptEnded,
@@ -78,7 +78,7 @@
     for number in range(9_000):
         change = create_endpoint(rng.randrange(9_000), rng.choice((READY, DRAINING)))
         policy.handle(2_000.0 + number, delta(change))
-        assert len(policy.backends.known) <= len(policy.subset) + MAX_KNOWN_OUTSIDE + 1
+        assert len(policy.backends.known) <= len(policy.subset) + MAX_KNOWN_OUTSIDE_SUBSET + 1
 
     assert all(policy.backends.known[backend.id] is backend for backend in policy.subset)
 
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -24,9 +24,9 @@
 
 
 def apply_in_parts(
-    subset: EndpointSubset[int], kind: UpdateKind, endpoints: list[Endpoint], parts: int = 1
+    subset: EndpointSubset[int], kind: UpdateKind, endpoints: list[Endpoint], part_count: int = 1
 ) -> None:
-    size = max(1, math.ceil(len(endpoints) / parts))
+    size = max(1, math.ceil(len(endpoints) / part_count))
     starts = range(0, max(1, len(endpoints)), size)
     for start in starts:
         part = tuple(endpoints[start : start + size])
@@ -43,41 +43,41 @@
 
     kind: UpdateKind
     endpoints: list[Endpoint]
-    parts: int
+    part_count: int
 
 
-def random_snapshot(rng: random.Random, listed: dict[int, Endpoint], limit: int) -> Update:
+def random_snapshot(rng: random.Random, listed: dict[int, Endpoint], max_length: int) -> Update:
     """A new list with few, most or all of the old one's endpoints."""
     retained = [endpoint for endpoint in listed.values() if rng.random() < rng.choice((0.1, 0.9, 1.0))]
-    new = [create_endpoint(rng.randrange(10**6), cell=rng.randrange(9)) for _ in range(limit // 8)]
+    new = [create_endpoint(rng.randrange(10**6), cell=rng.randrange(9)) for _ in range(max_length // 8)]
     shuffled = [*retained, *new]
     rng.shuffle(shuffled)
     endpoint_by_id = {endpoint.backend_id: endpoint for endpoint in shuffled}
     kind = rng.choice((UpdateKind.SNAPSHOT, UpdateKind.CACHED))
-    return Update(kind, list(endpoint_by_id.values()), parts=rng.randint(1, 9))
+    return Update(kind, list(endpoint_by_id.values()), part_count=rng.randint(1, 9))
 
 
-def random_delta(rng: random.Random, listed: dict[int, Endpoint], limit: int) -> Update:
+def random_delta(rng: random.Random, listed: dict[int, Endpoint], max_length: int) -> Update:
     """One, two or many new backends, restarts, drains and removals."""
     endpoints = []
-    for _ in range(rng.choice((1, 1, 2, limit // 3))):
+    for _ in range(rng.choice((1, 1, 2, max_length // 3))):
         old = rng.choice(list(listed.values()))
         state = rng.choice((READY, DRAINING, REMOVED, READY))
         new = create_endpoint(rng.randrange(10**6), cell=rng.randrange(9))
         changed = Endpoint(old.backend_id, old.zone, old.cell, rng.random() * 1e6, state)
-        endpoints.append(new if len(listed) < limit and rng.random() < 0.5 else changed)
-    return Update(UpdateKind.DELTA, endpoints, parts=1)
+        endpoints.append(new if len(listed) < max_length and rng.random() < 0.5 else changed)
+    return Update(UpdateKind.DELTA, endpoints, part_count=1)
 
 
-def random_history(rng: random.Random, limit: int) -> Iterator[Update]:
-    """Sixty snapshots and deltas of a list of about `limit` backends."""
+def random_history(rng: random.Random, max_length: int) -> Iterator[Update]:
+    """Sixty snapshots and deltas of a list of about `max_length` backends."""
     listed: dict[int, Endpoint] = {}
     for _ in range(60):
         if rng.random() < 0.2 or not listed:
-            update = random_snapshot(rng, listed, limit)
+            update = random_snapshot(rng, listed, max_length)
             listed = {}
         else:
-            update = random_delta(rng, listed, limit)
+            update = random_delta(rng, listed, max_length)
         for endpoint in update.endpoints:
             listed[endpoint.backend_id] = endpoint
             if endpoint.state is REMOVED:
@@ -87,11 +87,11 @@
 
 @pytest.mark.parametrize("seed", range(6))
 @pytest.mark.parametrize(
-    ("gateway_count", "limit"),
+    ("gateway_count", "max_length"),
     [(1, 60), (7, 60), (40, 60), (200, 200), (30, 700), (200, 3_000), (3_700, 2_500)],
 )
 def test_subset_is_that_of_the_reference_after_every_update(
-    gateway_count: int, limit: int, seed: int
+    gateway_count: int, max_length: int, seed: int
 ) -> None:
     rng = random.Random(seed)
     gateway_index = rng.randrange(gateway_count)
@@ -99,10 +99,10 @@
     subset = create_subset(gateway_index, gateway_count, has_cell_index=has_cell_index)
     reference = ReferenceSubset(gateway_index, gateway_count)
 
-    for update in random_history(rng, limit):
+    for update in random_history(rng, max_length):
         reference.apply(update.kind, update.endpoints)
-        apply_in_parts(subset, update.kind, update.endpoints, update.parts)
-        if limit <= 200:
+        apply_in_parts(subset, update.kind, update.endpoints, update.part_count)
+        if max_length <= 200:
             assert not subset.is_rebuilding, "a short list is in force at once"
         if rng.random() < 0.7:
             finish_rebuild(subset)
@@ -114,7 +114,7 @@
         assert subset.records.keys() == reference.listed.keys()
 
     finish_rebuild(subset)
-    indexed_ids = {backend_id for cell in subset.ring.backends_by_cell.values() for backend_id in cell}
+    indexed_ids = {backend_id for cell in subset.ring.backend_ids_by_cell.values() for backend_id in cell}
     assert subset.backends == reference.backend_ids()
     assert indexed_ids == (set(subset.ring.sort_keys) if has_cell_index else set())
 
@@ -171,7 +171,7 @@
         return endpoint.backend_id
 
     subset = EndpointSubset(1_234, FLEET_SIZE, create_backend)
-    apply_in_parts(subset, UpdateKind.SNAPSHOT, ready_endpoints(range(list_length)), parts=20)
+    apply_in_parts(subset, UpdateKind.SNAPSHOT, ready_endpoints(range(list_length)), part_count=20)
     finish_rebuild(subset)
     assert len(subset.backend_ids) == len(subset.backends) > 0
     hashes.count = 0
@@ -211,7 +211,7 @@
     subset = create_subset(1_234, FLEET_SIZE)
     endpoints = ready_endpoints(range(20_000))
 
-    apply_in_parts(subset, UpdateKind.SNAPSHOT, endpoints, parts=313)
+    apply_in_parts(subset, UpdateKind.SNAPSHOT, endpoints, part_count=313)
 
     assert subset.is_rebuilding
     assert hashes.count == 0, "no endpoint is hashed before all are known"
@@ -229,11 +229,11 @@
     subset = create_subset(1_234, FLEET_SIZE)
     reference = ReferenceSubset(1_234, FLEET_SIZE)
     endpoints = ready_endpoints(range(20_000))
-    apply_in_parts(subset, UpdateKind.SNAPSHOT, endpoints, parts=313)
+    apply_in_parts(subset, UpdateKind.SNAPSHOT, endpoints, part_count=313)
     finish_rebuild(subset)
     hashes.count = 0
 
-    apply_in_parts(subset, UpdateKind.SNAPSHOT, endpoints[:-3], parts=300)
+    apply_in_parts(subset, UpdateKind.SNAPSHOT, endpoints[:-3], part_count=300)
 
     reference.apply(UpdateKind.SNAPSHOT, endpoints[:-3])
     assert not subset.is_rebuilding
@@ -241,7 +241,7 @@
     assert subset.backends == reference.backend_ids()
 
 
-def test_drains_in_a_part_are_in_force_at_once_and_new_backends_with_the_last() -> None:
+def test_drains_in_a_snapshot_part_apply_at_once_and_additions_with_the_last_part() -> None:
     subset = create_subset()
     apply_in_parts(subset, UpdateKind.SNAPSHOT, ready_endpoints(range(9)))
     drained = [create_endpoint(backend_id, DRAINING) for backend_id in range(4)]
@@ -262,7 +262,7 @@
 @pytest.mark.parametrize(
     ("next_kind", "expected"), [(UpdateKind.DELTA, [0, 1, 2, 3]), (UpdateKind.SNAPSHOT, [1, 2, 3])]
 )
-def test_a_snapshot_that_breaks_off_adds_no_backend(next_kind: UpdateKind, expected: list[int]) -> None:
+def test_an_incomplete_snapshot_adds_no_backend(next_kind: UpdateKind, expected: list[int]) -> None:
     subset = create_subset()
     apply_in_parts(subset, UpdateKind.SNAPSHOT, ready_endpoints(range(3)))
     subset.apply(
@@ -278,11 +278,11 @@
     assert subset.backends == expected
 
 
-def test_changes_during_a_rebuild_are_in_force() -> None:
+def test_changes_during_a_rebuild_are_applied() -> None:
     subset = create_subset(5, FLEET_SIZE)
     reference = ReferenceSubset(5, FLEET_SIZE)
     endpoints = ready_endpoints(range(5_000))
-    apply_in_parts(subset, UpdateKind.SNAPSHOT, endpoints, parts=50)
+    apply_in_parts(subset, UpdateKind.SNAPSHOT, endpoints, part_count=50)
     reference.apply(UpdateKind.SNAPSHOT, endpoints)
     rng = random.Random(4)
 
@@ -300,14 +300,14 @@
 
 def test_no_backend_of_a_replaced_list_stays_in_use() -> None:
     subset = create_subset(5, FLEET_SIZE)
-    apply_in_parts(subset, UpdateKind.SNAPSHOT, ready_endpoints(range(5_000)), parts=9)
+    apply_in_parts(subset, UpdateKind.SNAPSHOT, ready_endpoints(range(5_000)), part_count=9)
     finish_rebuild(subset)
     assert subset.backends
 
-    apply_in_parts(subset, UpdateKind.SNAPSHOT, ready_endpoints(range(5_000, 10_000)), parts=9)
+    apply_in_parts(subset, UpdateKind.SNAPSHOT, ready_endpoints(range(5_000, 10_000)), part_count=9)
     assert not subset.backends
     assert subset.is_rebuilding
-    assert all(endpoint.backend_id >= 5_000 for endpoint in subset.sample_outside(random.Random(1)))
+    assert all(endpoint.backend_id >= 5_000 for endpoint in subset.sample_ready(random.Random(1)))
 
     finish_rebuild(subset)
     assert subset.backends
@@ -323,19 +323,19 @@
     return subset
 
 
-def test_a_sample_outside_the_subset_holds_all_backends_of_a_cell(
+def test_a_sample_of_a_cell_holds_all_of_its_backends(
     long_list_by_cell: EndpointSubset[int],
 ) -> None:
-    sample = long_list_by_cell.sample_outside(random.Random(1), ("a", 7))
+    sample = long_list_by_cell.sample_ready(random.Random(1), ("a", 7))
 
     assert {endpoint.backend_id for endpoint in sample} == set(range(7, 9_000, 300))
 
 
-def test_a_sample_outside_the_subset_of_a_long_list_is_random_and_bounded(
+def test_a_sample_of_a_long_list_is_random_and_bounded(
     long_list_by_cell: EndpointSubset[int],
 ) -> None:
     samples = [
-        {endpoint.backend_id for endpoint in long_list_by_cell.sample_outside(random.Random(seed))}
+        {endpoint.backend_id for endpoint in long_list_by_cell.sample_ready(random.Random(seed))}
         for seed in range(2)
     ]
 
