--- a/gateway/policy/subsetting.py
+++ b/gateway/policy/subsetting.py
@@ -21,7 +21,7 @@
 from .events import Endpoint, EndpointState, EndpointUpdate, UpdateKind
 from .ring import Rebuild, Ring, Window
 
-SUBSET_SIZE = 8
+MIN_SUBSET_SIZE = 8
 """Backends that a gateway uses at least, if so many are ready."""
 
 MIN_GATEWAYS_PER_BACKEND = 8
@@ -42,7 +42,7 @@
 
 def assign_window(gateway_index: int, gateway_count: int, ready_count: int) -> Window:
     """The window of a gateway while `ready_count` backends are ready; a single window has no round."""
-    min_size = max(SUBSET_SIZE, MIN_GATEWAYS_PER_BACKEND * ready_count / gateway_count)
+    min_size = max(MIN_SUBSET_SIZE, MIN_GATEWAYS_PER_BACKEND * ready_count / gateway_count)
     # A power of two seldom changes, and with it the round and the permutation.
     window_count: int = 2 ** max(0, math.floor(math.log2(max(1.0, ready_count / min_size))))
     round_number, window_index = divmod(gateway_index, window_count)
--- a/tests/support/reference_subset.py
+++ b/tests/support/reference_subset.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 
 from gateway.policy.events import Endpoint, UpdateKind
-from gateway.policy.subsetting import MIN_GATEWAYS_PER_BACKEND, SUBSET_SIZE
+from gateway.policy.subsetting import MIN_GATEWAYS_PER_BACKEND, MIN_SUBSET_SIZE
 from tests.support.endpoints import READY, REMOVED
 
 FLEET_SIZE = 3_700
@@ -44,7 +44,7 @@
         """The backends of this gateway's window, in the order of its round."""
         ready_ids = self.ready_ids()
         count = len(ready_ids)
-        size = max(SUBSET_SIZE, MIN_GATEWAYS_PER_BACKEND * count / max(1, self.gateway_count))
+        size = max(MIN_SUBSET_SIZE, MIN_GATEWAYS_PER_BACKEND * count / max(1, self.gateway_count))
         window_count = 2 ** max(0, math.floor(math.log2(max(1.0, count / size))))
         round_number, window = divmod(self.gateway_index, window_count)
         if window_count > 1:
