--- a/gateway/policy/endpoint_updates.py
+++ b/gateway/policy/endpoint_updates.py
@@ -1,6 +1,7 @@
 """Applies updates of the endpoint list.
 
-A long list is ordered in steps, each on a timer without delay, so that other events are handled in between.
+The ring of a long list is rebuilt in steps, each on a timer without delay, so that other events are handled
+between them.
 """
 
 from .actions import Actions, SetTimer, WatchEndpoints
@@ -12,7 +13,7 @@
 
 
 class EndpointUpdateHandler:
-    """Hands updates of the endpoint list to the backend table and the admission control."""
+    """Passes endpoint updates to the backend table, and the number of backends to admission control."""
 
     def __init__(self, settings: Settings, backends: BackendTable, admission: AdmissionController) -> None:
         self.backends = backends
@@ -22,12 +23,12 @@
         self.has_rebuild_timer = False
 
     def start(self, actions: Actions) -> None:
-        """Open the watch with the first event, unless a local agent pushes the list."""
+        """Open the watch of the endpoint list at the first event, unless a local agent pushes the list."""
         if self.polls_endpoints:
             actions.append(WatchEndpoints())
 
     def on_update(self, _now: float, update: EndpointUpdate, actions: Actions) -> None:
-        """Apply an update; when the watch has failed, the last list stays in force and it is opened again."""
+        """Apply an update; after a failed watch, keep the last list and set a timer to reopen the watch."""
         if update.kind is UpdateKind.WATCH_FAILED:
             actions.append(SetTimer(self.watch_retry_ms, TimerToken(TimerKind.WATCH_ENDPOINTS)))
             return
@@ -36,13 +37,13 @@
         self._schedule_rebuild(actions)
 
     def on_rebuild_timer(self, actions: Actions) -> None:
-        """Do the next step of ordering a long list."""
+        """Run the next step of a rebuild."""
         self.has_rebuild_timer = False
         self.backends.endpoint_subset.continue_rebuild()
         self._schedule_rebuild(actions)
 
     def _schedule_rebuild(self, actions: Actions) -> None:
-        """Let waiting events be handled before the next step."""
+        """Set a timer for the next step of a rebuild, so that waiting events are handled before it."""
         if self.backends.endpoint_subset.is_rebuilding and not self.has_rebuild_timer:
             self.has_rebuild_timer = True
             actions.append(SetTimer(0.0, TimerToken(TimerKind.BUILD_ORDER)))
--- a/gateway/policy/ring.py
+++ b/gateway/policy/ring.py
@@ -11,14 +11,14 @@
 from .endpoint_records import CELL_BYTES, SERIAL_BYTES, Record
 
 HASH_SIZE = 8
-"""Bytes of the hash, or of the serial number, that begins a sort key."""
+"""Length in bytes of the hash, or of the serial number, at the start of a sort key."""
 
 ID_SIZE = 8
-"""Bytes of the backend id that ends a sort key."""
+"""Length in bytes of the backend id at the end of a sort key."""
 
 
 class Window(NamedTuple):
-    """A gateway's part of a ring: the round, and the positions from `start` to before `end`."""
+    """A gateway's part of a ring: the round, and the positions from `start` up to `end`, exclusive."""
 
     round_number: int | None
     start: int
@@ -26,25 +26,27 @@
 
 
 class Ring:
-    """The ready backends in the permutation of one round, the same at all gateways.
+    """The ready backends in the permutation of one round, which is the same at all gateways.
 
-    Without a round, they are in the order in which they were first listed. Each backend is hashed once, as
-    it is added; adding, finding and discarding one costs by the logarithm of the ring's length.
+    Without a round, they are in the order in which they were first listed. Each backend is hashed once, when
+    it is added; the cost of adding, finding or discarding one grows with the logarithm of the ring's length.
     """
 
     def __init__(self, round_number: int | None, *, has_cell_index: bool) -> None:
         self.round_number = round_number
         self.has_cell_index = has_cell_index
         self.sort_keys: dict[int, bytes] = {}
-        self.backend_ids_by_cell: dict[bytes, dict[int, None]] = {}  # by `CELL_BYTES`, in insertion order
+        self.backend_ids_by_cell: dict[
+            bytes, dict[int, None]
+        ] = {}  # keyed by `CELL_BYTES`, ids in insertion order
         self._sorted_keys: SortedList[bytes] = SortedList()
 
     def __len__(self) -> int:
-        """The number of backends in the ring."""
+        """Return the number of backends in the ring."""
         return len(self.sort_keys)
 
     def add(self, backend_id: int, record: Record) -> bool:
-        """Add a backend; False if it is there already."""
+        """Add a backend; return False if the ring already holds it."""
         if backend_id in self.sort_keys:
             return False
         sort_key = self.sort_key(backend_id, record)
@@ -55,7 +57,7 @@
         return True
 
     def discard(self, backend_id: int, record: Record) -> int | None:
-        """Remove a backend and return the position that it had, or None if it was not there."""
+        """Remove a backend; return the position that it had, or None if it was not in the ring."""
         sort_key = self.sort_keys.pop(backend_id, None)
         if sort_key is None:
             return None
@@ -70,17 +72,17 @@
         return position
 
     def position(self, backend_id: int) -> int:
-        """How many backends come before this one. Raises KeyError if it is not in the ring."""
+        """Return the number of backends before this one. Raises KeyError if it is not in the ring."""
         return self._sorted_keys.bisect_left(self.sort_keys[backend_id])
 
     def backend_ids_between(self, start: int, end: int) -> list[int]:
-        """The backends at the positions from `start` to before `end`."""
+        """Return the backend ids at the positions from `start` up to `end`, exclusive."""
         return [
             int.from_bytes(sort_key[HASH_SIZE:], "big") for sort_key in self._sorted_keys.islice(start, end)
         ]
 
     def sort_key(self, backend_id: int, record: Record) -> bytes:
-        """What the backend is sorted by; its id at the end makes the key unique."""
+        """Return the key that the backend is sorted by; the id at its end makes the key unique."""
         id_bytes = backend_id.to_bytes(ID_SIZE, "big")
         if self.round_number is None:
             return record[SERIAL_BYTES] + id_bytes
@@ -90,15 +92,15 @@
 
 @dataclass(slots=True)
 class Rebuild:
-    """A ring that is being built; changes that come meanwhile are made in it, not in the ring in force."""
+    """A ring that is being built. Changes that arrive meanwhile are made in it, not in the current ring."""
 
     ring: Ring
     backend_ids: list[int]
-    """All that were listed when it began."""
+    """The backends that were listed when the rebuild began."""
     taken_count: int = 0
 
     def take_next(self, limit: int) -> list[int]:
-        """The next backends to add, `limit` of them at most; each is returned once."""
+        """Return the ids of the next backends to add, at most `limit`; each id is returned once."""
         start = self.taken_count
         self.taken_count = start + limit
         return self.backend_ids[start : start + limit]
--- a/gateway/policy/subsetting.py
+++ b/gateway/policy/subsetting.py
@@ -1,13 +1,13 @@
 """The endpoint list, and the subset of its backends that one gateway uses.
 
-Deterministic subsetting, after "Load Balancing in the Datacenter" in Site Reliability Engineering: each round
-of gateways divides a permutation of the ready backends, which covers them evenly, and the subset is a window
-on it (a `Ring` holds the permutation). So a gateway keeps connections to few backends, and each backend gets
-its load from enough gateways.
-
-More than `MAX_CHANGES_AT_ONCE` changes are made in steps, with other events handled in between. Until the
-last step the window only loses backends that drain or are removed: no backend is chosen by an incomplete
-ring.
+Deterministic subsetting, after "Load Balancing in the Datacenter" in Site Reliability Engineering: the
+gateways form rounds, and the gateways of a round divide a permutation of the ready backends evenly among
+them. A `Ring` holds the permutation; a gateway's subset is its window of it. So a gateway keeps connections
+to few backends, and each backend gets its load from enough gateways.
+
+A snapshot with more than `MAX_CHANGES_AT_ONCE` changes, or a change of the round, replaces the ring. The ring
+of a long list is built in steps, and other events are handled between them. Until the last step the window
+only loses backends, which drain or are removed, so that no backend is chosen from an incomplete ring.
 """
 
 from __future__ import annotations
@@ -22,28 +22,30 @@
 from .ring import Rebuild, Ring, Window
 
 MIN_SUBSET_SIZE = 8
-"""Backends that a gateway uses at least, if so many are ready."""
+"""Minimum number of backends that a gateway uses, if that many are ready."""
 
 MIN_GATEWAYS_PER_BACKEND = 8
-"""Gateways that use each backend at least, so that its load does not depend on the demand at a few of
-them."""
+"""Minimum number of gateways that use each backend, so that its load does not depend on the demand at a few
+gateways."""
 
 MAX_CHANGES_AT_ONCE = 512
-"""Backends whose position may be computed without handling other events in between."""
+"""Maximum number of backends that a snapshot adds or removes, or that a new ring is built of, without
+handling other events in between."""
 
 REBUILD_STEP = 128
-"""Backends added to a new ring in one step, which takes well under a millisecond."""
+"""Number of backends that one step adds to a new ring; a step takes well under a millisecond."""
 
 MAX_SAMPLE_SIZE = 512
-"""Backends considered for one request outside the subset."""
+"""Maximum number of backends in a random sample of a long list, for a request that no backend of the subset
+may serve."""
 
 BackendT = TypeVar("BackendT")
 
 
 def assign_window(gateway_index: int, gateway_count: int, ready_count: int) -> Window:
-    """The window of a gateway while `ready_count` backends are ready; a single window has no round."""
+    """Return a gateway's window while `ready_count` backends are ready; its round is None if it holds all."""
     min_size = max(MIN_SUBSET_SIZE, MIN_GATEWAYS_PER_BACKEND * ready_count / gateway_count)
-    # A power of two seldom changes, and with it the round and the permutation.
+    # A power of two seldom changes, so the gateway's round and its permutation seldom change either.
     window_count: int = 2 ** max(0, math.floor(math.log2(max(1.0, ready_count / min_size))))
     round_number, window_index = divmod(gateway_index, window_count)
     start = ready_count * window_index // window_count
@@ -52,7 +54,7 @@
 
 
 class EndpointSubset(Generic[BackendT]):
-    """Keeps the endpoint list, and the subset of it that a gateway uses."""
+    """Keeps the endpoint list, and the subset of its backends that one gateway uses."""
 
     def __init__(
         self,
@@ -61,9 +63,9 @@
         create_backend: Callable[[Endpoint], BackendT],
         has_cell_index: bool = False,
     ) -> None:
-        self.backends: list[BackendT] = []  # of the subset, in the order of the ring
-        self.backend_ids: list[int] = []  # of the same
-        self.records: dict[int, Record] = {}  # of all listed backends, ready or draining
+        self.backends: list[BackendT] = []  # the subset, in the order of the ring
+        self.backend_ids: list[int] = []  # the ids of `backends`, in the same order
+        self.records: dict[int, Record] = {}  # by id, of all listed backends, ready or draining
         self.ring = Ring(None, has_cell_index=has_cell_index)
         self._gateway_index = gateway_index
         self._gateway_count = max(1, gateway_count)
@@ -79,12 +81,13 @@
         return self._rebuild is not None
 
     def apply(self, update: EndpointUpdate) -> None:
-        """Apply changes, or one part of a snapshot.
+        """Apply a delta, or one part of a snapshot.
 
-        Of a part, changes of listed backends are in force at once, new and missing backends with the last.
+        Changes of listed backends apply at once. New backends are added, and backends that the snapshot omits
+        are removed, with its last part.
         """
         if update.kind is UpdateKind.DELTA:
-            self._pending_snapshot = None  # a snapshot that is incomplete will not be completed
+            self._pending_snapshot = None  # the missing parts of an incomplete snapshot will not come
             for endpoint in update.endpoints:
                 self._apply_change(endpoint)
             self._correct_window()
@@ -101,7 +104,7 @@
         self._correct_window()
 
     def continue_rebuild(self, limit: int = REBUILD_STEP) -> None:
-        """Add the next `limit` backends to the ring that is being built; the last step puts it in force."""
+        """Add the next `limit` backends to the new ring; after the last step it replaces the current ring."""
         rebuild = self._rebuild
         if rebuild is None:
             return
@@ -112,7 +115,9 @@
         self.ring = rebuild.ring
         self._rebuild = None
         window = assign_window(self._gateway_index, self._gateway_count, len(self.ring))
-        if window.round_number != self.ring.round_number:  # many backends came or went meanwhile
+        if (
+            window.round_number != self.ring.round_number
+        ):  # many backends were added or removed during the rebuild
             self._start_rebuild()
             return
         self._window_start = window.start
@@ -120,9 +125,11 @@
         self.backends = [self._create(backend_id) for backend_id in self.backend_ids]
 
     def sample_ready(self, rng: random.Random, cell: tuple[str, int] | None = None) -> list[Endpoint]:
-        """Ready backends for a request that none of the subset may serve.
+        """Return ready backends for a request that no backend of the subset may serve.
 
-        Those of `cell` (zone and number) if cells are indexed; else all, or a random stretch of a long list.
+        With `cell` (zone and number) and a cell index, these are the backends of the cell, except during a
+        rebuild. Otherwise they are all ready backends of a short list, or those among at most
+        `MAX_SAMPLE_SIZE` consecutive backends from a random position of a long one.
         """
         records = self.records
         if cell is not None and self.ring.has_cell_index and self._rebuild is None:
@@ -172,7 +179,7 @@
         self._add_if_ready(backend_id)
 
     def _replace_list(self, snapshot: PendingSnapshot) -> None:
-        """Put a snapshot in force: by its differences if they are few, else with a new ring."""
+        """Replace the list by a snapshot; update the ring if few backends differ, else start a rebuild."""
         previous = self.records
         self.records = current = snapshot.records
         removed_count = len(previous) - (len(current) - len(snapshot.new_backend_ids))
@@ -215,7 +222,7 @@
             self._drop_from_window(offset)
 
     def _start_rebuild(self) -> None:
-        """Begin a new ring of all listed backends; a short one is in force at once."""
+        """Start to build a new ring of all listed backends; a short one is completed at once."""
         ready_count = sum(record[READY_BYTE] for record in self.records.values())
         window = assign_window(self._gateway_index, self._gateway_count, ready_count)
         ring = Ring(window.round_number, has_cell_index=self.ring.has_cell_index)
@@ -232,7 +239,7 @@
         del self.backends[offset]
 
     def _correct_window(self) -> None:
-        """Move the edges of the window to where they are to be with the backends that are ready now."""
+        """Move the window's edges to fit the number of ready backends; for a new round, start a rebuild."""
         if self._rebuild is not None:
             return
         round_number, start, end = assign_window(self._gateway_index, self._gateway_count, len(self.ring))
