--- a/gateway/policy/__init__.py
+++ b/gateway/policy/__init__.py
@@ -1,4 +1,4 @@
-"""The decisions of a gateway: events in, actions out, no I/O and no clock."""
+"""The decisions of a gateway: a policy handles events and returns actions, without I/O or a clock."""
 
 from .policy import GatewayPolicy
 
--- a/gateway/policy/actions.py
+++ b/gateway/policy/actions.py
@@ -1,7 +1,8 @@
 """The actions that the policy returns, for its host to carry out. All times are milliseconds.
 
 No action is changed once it has been created. The types are not frozen dataclasses, because those assign each
-field through a call: they take longer to create, and longer to define at the start of the process.
+field through a call: their instances take longer to create, and the types take longer to define when the
+process starts.
 """
 
 from __future__ import annotations
@@ -16,8 +17,8 @@
 class StartAttempt:
     """Start an attempt; the attempts of a request are numbered 0, 1, 2, ... in the order of their starts.
 
-    If no connection is established before `start_before`, a time on the policy's clock, the request is not
-    sent and the attempt ends as not started.
+    If no connection is established before `start_before`, a time on the host's clock, the request is not sent
+    and the attempt ends with `Outcome.NOT_STARTED`.
     """
 
     request_id: str
@@ -36,7 +37,7 @@
 
 @dataclass(slots=True)
 class Reject:
-    """A final response which promises that it is safe to send the request again."""
+    """Send the final response of a request, which promises that it is safe to send the request again."""
 
     request_id: str
     retry_after_ms: float = 0.0
@@ -44,7 +45,7 @@
 
 @dataclass(slots=True)
 class Fail:
-    """A final response after which the request may have run."""
+    """Send the final response of a request that failed and may have run."""
 
     request_id: str
 
@@ -53,7 +54,7 @@
 class SetTimer:
     """Deliver `TimerFired` with the token after a delay.
 
-    A timer without delay fires once the other events that are waiting have been handled.
+    A timer without delay fires after the events that are already waiting have been handled.
     """
 
     delay_ms: float
@@ -62,7 +63,7 @@
 
 @dataclass(slots=True)
 class IncrementCounter:
-    """Add to a named total on the counter service (0 reads it); the response carries the new total."""
+    """Add to a named total of the counter service; 0 reads the total. The response carries the new total."""
 
     name: str
     amount: float
--- a/gateway/policy/backend_table.py
+++ b/gateway/policy/backend_table.py
@@ -1,4 +1,4 @@
-"""The backends that this gateway uses, and others that it has used, with their scores."""
+"""The backends that a gateway uses or has used, with their scores."""
 
 import random
 
@@ -8,18 +8,18 @@
 from .subsetting import EndpointSubset
 
 MAX_KNOWN_OUTSIDE_SUBSET = 512
-"""Backends outside the subset whose scores are kept."""
+"""Maximum number of backends outside the subset whose scores are kept."""
 
 
 class BackendTable:
-    """The subset that this gateway uses, and the scores of backends that it has used."""
+    """Keeps the subset that a gateway uses, and the scores of the backends that it has used."""
 
     def __init__(self, settings: Settings) -> None:
         needs_cell_index = any(
             c.idempotency is Idempotency.WITH_KEY and c.deduplication_scope is DeduplicationScope.CELL
             for c in settings.request_classes
         )
-        self.known: dict[int, Backend] = {}  # the subset, and others that got attempts
+        self.known: dict[int, Backend] = {}  # by id: the subset, and others that got attempts
         self.endpoint_subset = EndpointSubset(
             settings.gateway_index, settings.gateway_count, self._find_or_create, needs_cell_index
         )
@@ -36,11 +36,11 @@
             self.known = {i: b for i, b in self.known.items() if i in self.endpoint_subset.records}
 
     def remember(self, backend: Backend) -> None:
-        """Keep the scores of a backend that is used, also of one outside the subset."""
+        """Keep a backend that gets an attempt, with its scores, even if it is outside the subset."""
         self.known.setdefault(backend.id, backend)
 
     def sample_ready(self, rng: random.Random, cell: tuple[str, int] | None) -> list[Backend]:
-        """Ready backends for a request that none of the subset may serve; of one cell if it is given."""
+        """Return the backends that `EndpointSubset.sample_ready` samples, with the scores of known ones."""
         return [
             self.known.get(e.backend_id) or Backend(e) for e in self.endpoint_subset.sample_ready(rng, cell)
         ]
--- a/gateway/policy/backends.py
+++ b/gateway/policy/backends.py
@@ -1,4 +1,4 @@
-"""The backends as this gateway has seen them: their attempts in flight and their outlier scores."""
+"""The backends as one gateway sees them: its attempts in flight there, and their outlier scores."""
 
 from collections import defaultdict
 from dataclasses import dataclass, field
@@ -7,7 +7,7 @@
 
 
 class Score:
-    """A level that decays exponentially from its last update; who reads it knows the time constant."""
+    """A level that decays exponentially from its last update; its readers apply the time constant."""
 
     __slots__ = ("level", "updated_at")
 
@@ -16,46 +16,46 @@
         self.updated_at = 0.0
 
     def update(self, now: float, level: float) -> None:
-        """Set the level; it decays from now on."""
+        """Set the level, which decays from `now` on."""
         self.level = level
         self.updated_at = now
 
 
 @dataclass(slots=True, eq=False)
 class BackendScores:
-    """What `OutlierDetector` has seen of one process of a backend."""
+    """The scores that `OutlierDetector` keeps of one process of a backend."""
 
     excess_latency: Score = field(default_factory=Score)
-    """Milliseconds above the typical latency."""
+    """Latency above the typical latency, in milliseconds."""
     failures: Score = field(default_factory=Score)
     """Fraction of all requests that fail, from 0 to 1."""
     by_class: defaultdict[str, Score] = field(default_factory=lambda: defaultdict(Score))
-    """Likewise, of the requests of a class."""
+    """By name of a request class: the fraction of its requests that fail."""
     by_plan: defaultdict[str, Score] = field(default_factory=lambda: defaultdict(Score))
-    """Likewise, of the requests of a plan's customers."""
+    """By name of a plan: the fraction of its customers' requests that fail."""
 
 
 class Backend:
-    """One backend as this gateway has seen it."""
+    """A backend, with this gateway's attempts in flight there and the scores of the backend."""
 
     __slots__ = ("cell", "id", "in_flight", "scores", "started_at", "zone")
 
     def __init__(self, endpoint: Endpoint) -> None:
         self.id = endpoint.backend_id
         self.in_flight = 0
-        self.started_at = -1.0  # of its process
+        self.started_at = -1.0  # start time of its process; `update` sets it
         self.update(endpoint)
 
     def begin_attempt(self) -> None:
-        """Count an attempt in flight."""
+        """Increment the number of attempts in flight."""
         self.in_flight += 1
 
     def end_attempt(self) -> None:
-        """Count an attempt that is no longer in flight."""
+        """Decrement the number of attempts in flight."""
         self.in_flight -= 1
 
     def update(self, endpoint: Endpoint) -> None:
-        """Take over a new entry of the endpoint list; a new process starts without scores."""
+        """Apply an entry of the endpoint list; a new process of the backend starts without scores."""
         if endpoint.started_at != self.started_at:
             self.scores = BackendScores()
         self.zone = endpoint.zone
--- a/gateway/policy/events.py
+++ b/gateway/policy/events.py
@@ -1,7 +1,8 @@
 """The events that the policy's host delivers. All times are milliseconds on the host's clock.
 
 No event is changed once it has been created. The types are not frozen dataclasses, because those assign each
-field through a call: they take longer to create, and longer to define at the start of the process.
+field through a call: their instances take longer to create, and the types take longer to define when the
+process starts.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
 
 class UpdateKind(Enum):
-    """What an endpoint update holds."""
+    """What an endpoint update contains."""
 
     DELTA = auto()
     """Changes since the last update."""
@@ -41,35 +42,35 @@
     FAILED = auto()
     """The backend or the counter responded with an error."""
     QUEUE_FULL = auto()
-    """The backend or the counter rejected it without processing it."""
+    """The backend or the counter rejected the attempt or call without processing it."""
     TIMED_OUT = auto()
     CONNECT_ERROR = auto()
-    """No connection, or one that broke before the request was sent."""
+    """No connection was established, or it broke before the request was sent."""
     CONNECTION_RESET = auto()
-    """The connection broke after the request was sent: it may have run."""
+    """The connection broke after the request was sent: the request may have run."""
     CANCELLED = auto()
     NOT_STARTED = auto()
-    """The host did not carry out the action."""
+    """The host did not carry out the action that starts the attempt or call."""
 
 
 NOT_PROCESSED = (Outcome.QUEUE_FULL, Outcome.CONNECT_ERROR, Outcome.NOT_STARTED)
-"""The outcomes of attempts and calls that are known not to have been processed."""
+"""Outcomes of attempts and calls that are known not to have been processed."""
 
 
 class Endpoint(NamedTuple):
-    """One backend of the endpoint list."""
+    """One backend in the endpoint list."""
 
     backend_id: int
     zone: str
     cell: int
     started_at: float
-    """When its process started; 0 if that is not known."""
+    """When the process of the backend started; 0 if that is not known."""
     state: EndpointState
 
 
 @dataclass(slots=True)
 class EndpointUpdate:
-    """Entries of the endpoint list; a snapshot may come in parts and is in force with the last of them."""
+    """Entries of the endpoint list; a snapshot may come in parts and replaces the list with the last one."""
 
     kind: UpdateKind
     endpoints: tuple[Endpoint, ...]
@@ -79,7 +80,7 @@
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A request has arrived; those of its customer arrive through `gateway_set_size` gateways."""
+    """A request has arrived; its customer's requests arrive through a set of `gateway_set_size` gateways."""
 
     request_id: str
     request_class: str
@@ -96,7 +97,7 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt has ended; `request_finished` says whether its request already has its final response."""
+    """An attempt has ended; `request_finished` tells whether its request already has its final response."""
 
     request_id: str
     attempt_number: int
@@ -124,7 +125,7 @@
 
 @dataclass(slots=True)
 class CounterResponse:
-    """The counter's response to the oldest open call of that name, or the failure of this call."""
+    """The counter's response to the oldest open call for the total `name`, or the failure of that call."""
 
     name: str
     outcome: Outcome
@@ -133,14 +134,14 @@
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer that the policy set is due."""
+    """A timer that the policy set has fired."""
 
     token: TimerToken
 
 
 @dataclass(slots=True)
 class PeerMessage:
-    """A message of another gateway."""
+    """A message from another gateway."""
 
     sender: int
     payload: bytes
--- a/gateway/policy/load_balancing.py
+++ b/gateway/policy/load_balancing.py
@@ -1,4 +1,4 @@
-"""The choice of a backend: randomized by cost, with slow start for backends that are warming up."""
+"""The choice of a backend: random, weighted by cost, with slow start for backends that are warming up."""
 
 import random
 
@@ -10,20 +10,20 @@
 from .settings import SafetyRules
 
 RANDOM_FACTOR_EXPONENT = 0.25
-"""Exponent of the random factor of a cost: a backend at half the cost is chosen sixteen times as often."""
+"""Exponent of the random factor of a cost: at half the cost, a backend is chosen sixteen times as often."""
 
 SAMPLING_THRESHOLD = 64
-"""Backends of the largest subset in which each choice computes the cost of all."""
+"""Size of the largest subset in which each choice computes the costs of all backends."""
 
 SAMPLE_SIZE = 32
-"""Backends drawn at random from a larger subset, whose costs are computed."""
+"""Number of backends drawn at random from a larger subset; a choice computes the costs of these only."""
 
 MAX_WARMING_FAILURE_PROBABILITY = 0.5
-"""Failure probability from which a backend that is warming up is not chosen."""
+"""Failure probability at and above which a backend that is warming up is not chosen."""
 
 
 class LoadBalancer:
-    """Chooses backends for attempts."""
+    """Chooses the backend of each attempt."""
 
     def __init__(
         self, rules: SafetyRules, rng: random.Random, backends: BackendTable, outliers: OutlierDetector
@@ -34,13 +34,18 @@
         self.outliers = outliers
 
     def pick(self, now: float, request: PendingRequest) -> Backend | None:
-        """Draw a backend, those of low cost far more often; one that is warming up by a draw of its own."""
+        """Draw a backend for the next attempt of a request; return None if none is drawn.
+
+        Backends of low cost are drawn far more often. Backends that are warming up are drawn separately.
+        """
         candidates = self.backends.endpoint_subset.backends
         if len(candidates) > SAMPLING_THRESHOLD:
             candidates = self.rng.sample(candidates, SAMPLE_SIZE)
         allowed = [b for b in candidates if may_run_on(now, request, b)]
         allowed = allowed or self.fallback_candidates(now, request)
         warm = [b for b in allowed if self.slow_start_fraction(now, b) >= 1]
+        # When many backends are slow, retries come from many gateways at once. So a request that may have run
+        # goes to a warm backend if there is one.
         if len(warm) < len(allowed) and not (request.possibly_run and warm):
             backend = self._draw_warming(now, request, allowed)
             if backend is not None:
@@ -50,14 +55,13 @@
         return warm[costs.index(min(costs))] if warm else None
 
     def _draw_warming(self, now: float, request: PendingRequest, allowed: list[Backend]) -> Backend | None:
-        """A backend that is warming up, if it is drawn.
-
-        Slow start must bound the fleet's total: a warming backend fails above `overload_multiple` times its
-        present capacity, whichever gateways send the load. So each gateway sends it an even part of its own
-        requests, scaled by its least capacity, and while that is small scaled down once more, as one long
-        request is then much of it: the sum over all gateways stays under that fraction of a warm backend's
-        load. Retries come from many gateways at once where many backends are slow; they go to warm backends
-        if there are any.
+        """Return a random backend if it is warming up and is drawn, or else None.
+
+        Slow start must bound the load from the whole fleet: a warming backend fails above `overload_multiple`
+        times its present capacity, whichever gateways send the load. So each gateway sends it an even share
+        of its own requests, multiplied by the fraction of its capacity that it is sure to have. While that
+        fraction is small, the share is reduced further, because one long request then takes up much of the
+        capacity. The sum over all gateways thus stays under that fraction of a warm backend's load.
         """
         backend = self.rng.choice(allowed)
         capacity_fraction = self.slow_start_fraction(now, backend)
@@ -68,7 +72,7 @@
         return backend if failure_probability < MAX_WARMING_FAILURE_PROBABILITY else None
 
     def slow_start_fraction(self, now: float, backend: Backend) -> float:
-        """The least fraction of its full capacity that a backend is sure to have, from 0 to 1."""
+        """Return the fraction of its full capacity that a backend is sure to have, from 0 to 1."""
         if backend.started_at <= 0:
             return 1.0
         rules = self.rules
@@ -76,13 +80,13 @@
         return min(1.0, rules.initial_capacity + (1 - rules.initial_capacity) * age)
 
     def cost(self, now: float, backend: Backend, request: PendingRequest) -> float:
-        """Milliseconds that a response should take here, with its queue and the risk of a failure."""
+        """Return the expected latency in milliseconds, raised by the backend's queue and its failure risk."""
         latency_ms = self.outliers.expected_latency(now, backend)
         failure_probability = self.outliers.failure_probability(now, backend, request)
         return latency_ms * (1 + FAILURE_COST * failure_probability) * (backend.in_flight + 1)
 
     def fallback_candidates(self, now: float, request: PendingRequest) -> list[Backend]:
-        """Backends outside the subset, for a request that none of the subset may serve."""
+        """Return listed backends that may serve a request which no backend of the subset may serve."""
         if must_not_run_again(request):
             return []
         sampled = self.backends.sample_ready(self.rng, required_cell(request))
--- a/gateway/policy/outlier_detection.py
+++ b/gateway/policy/outlier_detection.py
@@ -1,7 +1,7 @@
-"""Outlier detection: how likely a backend fails, how slow it is, and how long its responses are awaited.
+"""Outlier detection: a backend's failure probability and latency, and the time-outs of its attempts.
 
-A backend whose requests fail or take longer than those of others is an outlier. It is not ejected: its scores
-raise its cost, so that it is chosen seldom, and decay, so that it is tried again.
+A backend whose requests fail, or take longer than those of others, is an outlier. It is not ejected. Its
+scores raise its cost, so that it is seldom chosen, and they decay, so that it is tried again.
 """
 
 import math
@@ -13,50 +13,51 @@
 from .response_stats import ABANDONED, MAX_LATENCY_RATIO, ResponseStats
 
 LATENCY_WEIGHT = 0.15
-"""Weight of one response in a backend's excess latency."""
+"""Weight of one response in the moving average of a backend's excess latency."""
 
 FAILURE_WEIGHT = 0.3
-"""Weight of one outcome in a backend's failure scores."""
+"""Weight of one outcome in the moving averages of a backend's failures."""
 
 MIN_SCORE_MEMORY_MS = 4_000.0
-"""Least time constant with which scores decay."""
+"""Minimum time constant of the decay of scores."""
 
 SCORE_MEMORY_GAPS = 5.0
-"""Time constant of the scores in mean gaps between two requests to a backend, within the bounds in
-milliseconds: a backend that is seldom used must not be forgotten between them."""
+"""Time constant of the decay of scores, as a multiple of the mean time between two requests to a backend, so
+that the scores of a backend that is seldom used last from one request to the next. The minimum and maximum
+in milliseconds bound it."""
 
 MAX_SCORE_MEMORY_MS = 15_000.0
-"""Largest time constant with which scores decay."""
+"""Maximum time constant of the decay of scores."""
 
 NEGLIGIBLE_FAILURE_SCORE = 0.01
-"""Failure score under which a backend counts as healthy for all classes and plans."""
+"""Failure score below which a backend counts as healthy for all request classes and plans."""
 
 FAILURE_COST = 8.0
-"""A failure probability of 1 adds this multiple to a backend's cost, which puts it behind any healthy one."""
+"""Multiple of a backend's cost that a failure probability of 1 adds: it comes behind any healthy backend."""
 
 MIN_TIMEOUT_RATIO = 2.0
-"""Least attempt time-out, for a failing backend, in typical latencies."""
+"""Minimum time-out of an attempt, reached at a failing backend, as a multiple of the typical latency."""
 
 INITIAL_TIMEOUT_FRACTION = 0.4
-"""Attempt time-out before a typical latency is known, as a fraction of the latency objective."""
+"""Time-out of an attempt before the typical latency is known, as a fraction of the latency objective."""
 
 
 class OutlierDetector:
-    """Scores the backends by the outcomes of their attempts."""
+    """Scores backends by the outcomes of their attempts."""
 
     def __init__(self, backends: BackendTable, stats: ResponseStats) -> None:
         self.endpoint_subset = backends.endpoint_subset
         self.stats = stats
 
     def failure_probability(self, now: float, backend: Backend, request: PendingRequest) -> float:
-        """The probability that a backend fails a request.
+        """Return the probability that a backend fails a request.
 
-        Failures may be specific to a request class or plan, so each has a score of its own; the two are
-        combined as if they were independent, given the score of all requests.
+        Failures may be specific to a request class or a plan, so each class and each plan has its own score.
+        The two scores are combined as if they were independent, relative to the score over all requests.
         """
         scores = backend.scores
         if scores.failures.level < NEGLIGIBLE_FAILURE_SCORE:
-            return 0.0  # scores only decay; this spares the computation for healthy backends
+            return 0.0  # between updates a score only decays: healthy backends need no computation
         overall_level = self._decayed(now, scores.failures)
         if overall_level < NEGLIGIBLE_FAILURE_SCORE:
             return 0.0
@@ -67,11 +68,11 @@
         return min(1.0, self._decayed(now, class_score) * self._decayed(now, plan_score) / overall_level)
 
     def expected_latency(self, now: float, backend: Backend) -> float:
-        """Milliseconds that a response of a backend should take, before its queue and its failures."""
+        """Return the expected latency of a backend in milliseconds, without its queue and its failures."""
         return max(1.0, self.stats.typical_ms + self._decayed(now, backend.scores.excess_latency))
 
     def attempt_timeout(self, now: float, attempt: Attempt) -> float:
-        """Milliseconds that a response may take before the attempt counts as lost."""
+        """Return the milliseconds that a response may take before the attempt counts as lost."""
         if not self.stats.typical_ms:
             return INITIAL_TIMEOUT_FRACTION * attempt.request.request_class.latency_objective_ms
         failure_probability = self.failure_probability(now, attempt.backend, attempt.request)
@@ -79,14 +80,14 @@
         return ratio * self.stats.typical_ms
 
     def record_outcome(self, now: float, attempt: Attempt, outcome: Outcome) -> None:
-        """Score a backend by the end of an attempt, and take its latency into the statistics."""
+        """Update a backend's scores and the response statistics with the outcome of an attempt."""
         latency_ms = max(1.0, now - attempt.started_at)
         is_abandoned = outcome in ABANDONED
         is_overdue = is_abandoned and latency_ms >= self.attempt_timeout(now, attempt)
         if outcome is Outcome.OK or is_abandoned:
             self._record_latency(now, attempt.backend, latency_ms, is_abandoned=is_abandoned)
             self.stats.record(now, latency_ms, outcome)
-        if is_overdue or not is_abandoned:  # an early disconnect is no failure of the backend
+        if is_overdue or not is_abandoned:  # an attempt abandoned early is no failure
             self._record_failure(now, attempt, is_failure=outcome not in (Outcome.OK, Outcome.NOT_STARTED))
 
     def _record_latency(self, now: float, backend: Backend, latency_ms: float, *, is_abandoned: bool) -> None:
@@ -94,7 +95,8 @@
         excess_ms = self._decayed(now, score)
         capped_ms = self.stats.cap(latency_ms)
         typical_ms = self.stats.typical_ms
-        if not is_abandoned or capped_ms > typical_ms + excess_ms:  # the response would have taken longer
+        # An abandoned response would have taken longer, so its latency counts only if it raises the score.
+        if not is_abandoned or capped_ms > typical_ms + excess_ms:
             excess_sample_ms = capped_ms - (typical_ms or latency_ms)
             score.update(now, excess_ms + (excess_sample_ms - excess_ms) * LATENCY_WEIGHT)
 
@@ -107,7 +109,7 @@
             score.update(now, level + (is_failure - level) * FAILURE_WEIGHT)
 
     def _decayed(self, now: float, score: Score) -> float:
-        """The level of a score now; the scores of backends that are seldom used decay more slowly."""
+        """Return the level of a score now; scores decay more slowly where backends are seldom used."""
         gap_ms = len(self.endpoint_subset.backends) * 1000 / max(self.stats.response_rate, 0.1)
         memory_ms = max(MIN_SCORE_MEMORY_MS, min(MAX_SCORE_MEMORY_MS, SCORE_MEMORY_GAPS * gap_ms))
         return score.level * math.exp((score.updated_at - now) / memory_ms)
--- a/gateway/policy/ring.py
+++ b/gateway/policy/ring.py
@@ -36,9 +36,7 @@
         self.round_number = round_number
         self.has_cell_index = has_cell_index
         self.sort_keys: dict[int, bytes] = {}
-        self.backend_ids_by_cell: dict[
-            bytes, dict[int, None]
-        ] = {}  # keyed by `CELL_BYTES`, ids in insertion order
+        self.backend_ids_by_cell: dict[bytes, dict[int, None]] = {}  # by `CELL_BYTES`, in insertion order
         self._sorted_keys: SortedList[bytes] = SortedList()
 
     def __len__(self) -> int:
--- a/gateway/policy/subsetting.py
+++ b/gateway/policy/subsetting.py
@@ -115,9 +115,7 @@
         self.ring = rebuild.ring
         self._rebuild = None
         window = assign_window(self._gateway_index, self._gateway_count, len(self.ring))
-        if (
-            window.round_number != self.ring.round_number
-        ):  # many backends were added or removed during the rebuild
+        if window.round_number != self.ring.round_number:  # many backends came or went during the rebuild
             self._start_rebuild()
             return
         self._window_start = window.start
