--- a/gateway/policy/load_balancing.py
+++ b/gateway/policy/load_balancing.py
@@ -59,9 +59,10 @@
 
         Slow start must bound the load from the whole fleet: a warming backend fails above `overload_multiple`
         times its present capacity, whichever gateways send the load. So each gateway sends it an even share
-        of its own requests, multiplied by the fraction of its capacity that it is sure to have. While that
-        fraction is small, the share is reduced further, because one long request then takes up much of the
-        capacity. The sum over all gateways thus stays under that fraction of a warm backend's load.
+        of the gateway's requests, multiplied by the fraction of the backend's capacity that is sure to be
+        available. While that fraction is small, the share is reduced further, because one long request then
+        takes up much of the capacity. The sum over all gateways thus stays under that fraction of a warm
+        backend's load.
         """
         backend = self.rng.choice(allowed)
         capacity_fraction = self.slow_start_fraction(now, backend)
--- a/gateway/policy/outlier_detection.py
+++ b/gateway/policy/outlier_detection.py
@@ -23,8 +23,8 @@
 
 SCORE_MEMORY_GAPS = 5.0
 """Time constant of the decay of scores, as a multiple of the mean time between two requests to a backend, so
-that the scores of a backend that is seldom used last from one request to the next. The minimum and maximum
-in milliseconds bound it."""
+that the scores of a backend that is seldom used last from one request to the next. It is bounded by
+`MIN_SCORE_MEMORY_MS` and `MAX_SCORE_MEMORY_MS`."""
 
 MAX_SCORE_MEMORY_MS = 15_000.0
 """Maximum time constant of the decay of scores."""
@@ -33,7 +33,8 @@
 """Failure score below which a backend counts as healthy for all request classes and plans."""
 
 FAILURE_COST = 8.0
-"""Multiple of a backend's cost that a failure probability of 1 adds: it comes behind any healthy backend."""
+"""Multiple of a backend's cost that a failure probability of 1 adds to it, which puts the backend behind any
+healthy one."""
 
 MIN_TIMEOUT_RATIO = 2.0
 """Minimum time-out of an attempt, reached at a failing backend, as a multiple of the typical latency."""
@@ -87,7 +88,7 @@
         if outcome is Outcome.OK or is_abandoned:
             self._record_latency(now, attempt.backend, latency_ms, is_abandoned=is_abandoned)
             self.stats.record(now, latency_ms, outcome)
-        if is_overdue or not is_abandoned:  # an attempt abandoned early is no failure
+        if is_overdue or not is_abandoned:  # an attempt that was abandoned early is no failure
             self._record_failure(now, attempt, is_failure=outcome not in (Outcome.OK, Outcome.NOT_STARTED))
 
     def _record_latency(self, now: float, backend: Backend, latency_ms: float, *, is_abandoned: bool) -> None:
--- a/tests/policy/test_load_balancing.py
+++ b/tests/policy/test_load_balancing.py
@@ -30,7 +30,7 @@
 
 
 def create_fleet(gateway_count: int, endpoints: list[Endpoint]) -> list[PolicyHarness]:
-    """All gateways of a fleet, with the same endpoint list."""
+    """Create all gateways of a fleet, with the same endpoint list."""
     return [
         PolicyHarness.without_quotas(endpoints, gateway_count=gateway_count, gateway_index=index)
         for index in range(gateway_count)
@@ -80,7 +80,7 @@
 
 
 def test_each_gateway_of_a_large_fleet_uses_few_backends_and_all_are_covered_evenly() -> None:
-    """A gateway that meets each backend once a minute cannot tell an outlier from the others."""
+    """A gateway that uses each backend only once a minute cannot detect an outlier."""
     backend_count = 70
     gateway_count = 300
     fleet = create_fleet(gateway_count, ready_endpoints(range(backend_count), cells=1))
@@ -96,7 +96,7 @@
 
 
 def test_forty_gateways_use_few_backends_each_and_cover_all_evenly() -> None:
-    """A backend met once in ten seconds cannot be judged, and each attempt there opens a connection."""
+    """A backend used only once in ten seconds cannot be scored, and each attempt there opens a connection."""
     fleet = create_fleet(40, ready_endpoints(range(60), cells=1))
 
     subsets = [subset_ids(harness) for harness in fleet]
@@ -122,7 +122,7 @@
 
 
 def count_served(harness: PolicyHarness, request_count: int) -> int:
-    """Attempts of so many requests, which end at once."""
+    """Send `request_count` requests, end their attempts at once, and return the number of attempts."""
     served = 0
     for _ in range(request_count):
         for attempt in attempts_in(harness.request()):
@@ -146,7 +146,7 @@
 
 
 def test_all_gateways_together_send_a_new_backend_less_than_its_initial_capacity() -> None:
-    """Slow start must bound the fleet's total: a little from each of many gateways is an overload."""
+    """Slow start must bound the total load: a little from each of many gateways adds up to an overload."""
     new_backend = 5
     backend_count = 20
     gateway_count = 200
@@ -169,7 +169,7 @@
 
 
 def test_a_new_backend_gets_few_attempts_until_it_has_warmed_up(unlimited_harness: PolicyHarness) -> None:
-    """A backend that gets its full load while it warms up fails, and again after each restart."""
+    """A backend that gets its full load while it warms up fails, and fails again after each restart."""
     harness = unlimited_harness
     new_backend = 9
     serve_steadily(harness, 400)
@@ -189,7 +189,7 @@
 
 
 def retry_backends(endpoints: list[Endpoint]) -> set[int]:
-    """The backends of the second attempts of requests whose first attempt may have run."""
+    """Return the ids of the backends that get the retries of attempts that may have run."""
     used: set[int] = set()
     for seed in range(40):
         harness = PolicyHarness(endpoints, seed=seed, plans=(FREE,))
@@ -203,14 +203,14 @@
 
 @pytest.fixture
 def warming_endpoints() -> list[Endpoint]:
-    """Backends that have half of their capacity when the harness starts."""
+    """Backends that are halfway through their slow start when the harness starts."""
     return [create_endpoint(backend_id, started_at=5_000) for backend_id in range(10, 16)]
 
 
 def test_retries_of_attempts_that_may_have_run_go_to_warm_backends(
     warming_endpoints: list[Endpoint],
 ) -> None:
-    """While many attempts fail, the retries of all gateways would come on top of a warming backend's load."""
+    """While many attempts fail, the retries of all gateways would add to the load of a warming backend."""
     warm_endpoints = [create_endpoint(1), create_endpoint(2)]
 
     assert retry_backends([*warm_endpoints, *warming_endpoints]) == {1, 2}
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Outlier detection: backends that fail, hang, or fail the requests of one class alone."""
+"""Outlier detection: backends that fail, hang, or fail only the requests of one class."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 def end_attempt_at_faulty_or_good_backend(
     harness: PolicyHarness, attempt: StartAttempt
 ) -> list[StartAttempt]:
-    """End an attempt as its backend does; returns its retries."""
+    """End an attempt: it fails at the faulty backend and succeeds at any other. Return its retries."""
     harness.pass_time(20)
     if attempt.backend_id == FAULTY_BACKEND:
         return attempts_in(harness.end_attempt(attempt, Outcome.FAILED, attempt_number=0))
@@ -28,7 +28,7 @@
 
 
 def count_attempts_at_faulty_backend(harness: PolicyHarness, request_count: int) -> int:
-    """Attempts at the faulty backend that so many requests take, with their retries."""
+    """Send `request_count` requests; return the number of attempts at the faulty backend, with retries."""
     faulty_attempts = 0
     for _ in range(request_count):
         attempts = [only_attempt_in(harness.request())]
@@ -67,7 +67,7 @@
 
 
 def test_a_backend_that_fails_one_class_is_avoided_for_that_class_alone() -> None:
-    """Scored over all classes it would look half healthy, and would go on getting the class that it fails."""
+    """With one score for all classes, the backend would look half healthy and still get the failing class."""
     harness = PolicyHarness.without_quotas(max_attempts=1)
     attempts_at_faulty_backend = {IDEMPOTENT.name: 0, WITH_KEY.name: 0}
 
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -1,7 +1,8 @@
-"""Slow start bounds the load that all gateways together send a backend that is warming up.
+"""Slow start bounds the load that all gateways together send to a backend that is warming up.
 
-The bound: in a window for which the settings allow a backend N requests of mean work, it may receive
-2 x root of N + 2 more by random variation, and no more, however many gateways send them.
+The bound: in a time window in which the settings allow a backend N requests of mean work, it may receive at
+most N + 2 * sqrt(N) + 2 of them, however many gateways send them. The excess over N allows for random
+variation.
 """
 
 from __future__ import annotations
@@ -25,30 +26,31 @@
 )
 
 WARM_TIME_S = 1
-"""How long all backends are warm before some of them restart."""
+"""Seconds for which all backends are warm before some of them restart."""
 
 
 @dataclass
 class Observation:
-    """The window of a restarted backend that used most of its budget, and what the scenario held."""
+    """The time window in which a restarted backend used most of its budget, and counts of the scenario."""
 
     budget_use: float = 0.0
+    """Work received in that window, as a fraction of the budget."""
     work: float = 0.0
-    """Requests of mean work in that window."""
+    """Work received in that window, in requests of mean work."""
     age_ms: float = 0.0
-    """Of the backend at the end of that window."""
+    """Age of the backend at the end of that window, in milliseconds."""
     attempts: int = 0
-    """To restarted backends."""
+    """Attempts that restarted backends received."""
     long_attempts: int = 0
-    """To restarted backends."""
+    """Attempts of long requests that restarted backends received."""
     hedges: int = 0
-    """To any backend."""
+    """Hedged attempts at all backends."""
     retries: int = 0
-    """To any backend."""
+    """Retries at all backends."""
 
 
 def observe(scenario: Scenario, seed: int, draw_work: DrawWork) -> Observation:
-    """Play a scenario until its restarted backends are warm."""
+    """Play a scenario until its restarted backends are warm; return the window that used most of a budget."""
     fleet = SlowStartFleet(scenario, seed, draw_work)
     fleet.play(WARM_TIME_S)
     fleet.restart_backends()
@@ -62,7 +64,7 @@
 
 
 def observe_backend(scenario: Scenario, received: list[ReceivedAttempt], observation: Observation) -> None:
-    """Slide a window over what one backend received."""
+    """Slide a time window over the attempts that a backend received; keep the worst in `observation`."""
     window: deque[ReceivedAttempt] = deque()
     work_in_window = 0.0
     for attempt in received:
@@ -73,7 +75,7 @@
         window_start = attempt.age_ms - scenario.window_ms
         while window[0].age_ms <= window_start:
             work_in_window -= window.popleft().work
-        # The budget at the start of the window, although it grows until the end: the stricter of the two.
+        # The budget grows from the start of the window to its end; the one at the start is stricter.
         budget_use = work_in_window / scenario.budget(window_start)
         if budget_use > observation.budget_use:
             observation.budget_use = budget_use
@@ -99,7 +101,7 @@
     ),
     pytest.param(Scenario(200, 48, restarted_count=28, faulty_count=4), 3, id="200"),
 ]
-"""Scenarios and the number of seeds that each is played with; the ids begin with the number of gateways."""
+"""Scenarios, each with the number of seeds it is played with; an id begins with the number of gateways."""
 
 
 @pytest.mark.parametrize("draw_work", [mean_work, uneven_work])
@@ -107,7 +109,7 @@
 def test_all_gateways_together_keep_the_budget_of_a_backend_in_slow_start(
     scenario: Scenario, seed_count: int, draw_work: DrawWork
 ) -> None:
-    """Little load from each gateway may add up to an overload of a backend that is warming up."""
+    """A little load from each gateway may add up to an overload of a backend that is warming up."""
     observations = [observe(scenario, seed, draw_work) for seed in range(1, seed_count + 1)]
 
     worst = max(observations, key=lambda observation: observation.budget_use)
--- a/tests/policy/test_subset_use.py
+++ b/tests/policy/test_subset_use.py
@@ -1,4 +1,4 @@
-"""How the policy uses its subset: rebuilds by timers, bounded memory and a bounded choice."""
+"""How the policy uses its subset: rebuilds on timers, with bounded memory and a bounded cost of a choice."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 GATEWAY_INDEX = 1_234
 PART_SIZE = 64
-"""Endpoints in a part of a snapshot."""
+"""Number of endpoints in a part of a snapshot."""
 REBUILD_TIMER = SetTimer(0.0, TimerToken(TimerKind.BUILD_ORDER))
 
 
@@ -47,7 +47,7 @@
 
 
 def create_policy(list_length: int) -> GatewayPolicy:
-    """The policy of a gateway of a large fleet whose endpoint list has that length."""
+    """Create the policy of a gateway in a large fleet, with an endpoint list of `list_length` backends."""
     policy = GatewayPolicy(
         settings(
             gateway_index=GATEWAY_INDEX,
@@ -84,7 +84,7 @@
 
 
 def test_a_retry_with_an_idempotency_key_finds_its_cell_outside_the_subset() -> None:
-    """The subset of a long list holds few backends of a cell, or none."""
+    """The subset of a long list may hold few backends of the required cell, or none."""
     cell_count = 100
     harness = PolicyHarness(
         [create_endpoint(1)],
@@ -105,7 +105,7 @@
 
 @pytest.fixture
 def scored_backends(monkeypatch: pytest.MonkeyPatch) -> list[int]:
-    """The backends whose cost load balancers have computed, in that order."""
+    """The ids of the backends whose costs load balancers have computed, in order."""
     scored: list[int] = []
     compute_cost = LoadBalancer.cost
 
@@ -153,6 +153,6 @@
         policy.handle(2_001.0 + number, ended)
 
     assert ever_scored == {backend.id for backend in policy.subset}, (
-        "each backend of the subset has its chance"
+        "each backend of the subset is considered"
     )
     assert len(used) > min(60, 0.8 * len(policy.subset))
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -1,4 +1,4 @@
-"""The endpoint list and a gateway's subset of it: compared with a plain reference, and at a bounded cost."""
+"""The endpoint list and a gateway's subset: the same as in a simple reference, and at a bounded cost."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class Update(NamedTuple):
-    """One update of a random history, and the number of parts it is delivered in."""
+    """One update of a random history, and the number of parts in which it is delivered."""
 
     kind: UpdateKind
     endpoints: list[Endpoint]
@@ -47,7 +47,7 @@
 
 
 def random_snapshot(rng: random.Random, listed: dict[int, Endpoint], max_length: int) -> Update:
-    """A new list with few, most or all of the old one's endpoints."""
+    """Return a snapshot with few, most or all of the listed endpoints, and some new ones."""
     retained = [endpoint for endpoint in listed.values() if rng.random() < rng.choice((0.1, 0.9, 1.0))]
     new = [create_endpoint(rng.randrange(10**6), cell=rng.randrange(9)) for _ in range(max_length // 8)]
     shuffled = [*retained, *new]
@@ -58,7 +58,7 @@
 
 
 def random_delta(rng: random.Random, listed: dict[int, Endpoint], max_length: int) -> Update:
-    """One, two or many new backends, restarts, drains and removals."""
+    """Return a delta of one, two or many changes: new backends, restarts, drains and removals."""
     endpoints = []
     for _ in range(rng.choice((1, 1, 2, max_length // 3))):
         old = rng.choice(list(listed.values()))
@@ -70,7 +70,7 @@
 
 
 def random_history(rng: random.Random, max_length: int) -> Iterator[Update]:
-    """Sixty snapshots and deltas of a list of about `max_length` backends."""
+    """Yield sixty snapshots and deltas of a list of about `max_length` backends."""
     listed: dict[int, Endpoint] = {}
     for _ in range(60):
         if rng.random() < 0.2 or not listed:
@@ -103,7 +103,7 @@
         reference.apply(update.kind, update.endpoints)
         apply_in_parts(subset, update.kind, update.endpoints, update.part_count)
         if max_length <= 200:
-            assert not subset.is_rebuilding, "a short list is in force at once"
+            assert not subset.is_rebuilding, "the ring of a short list is rebuilt at once"
         if rng.random() < 0.7:
             finish_rebuild(subset)
 
@@ -120,7 +120,7 @@
 
 
 class CountingKey(bytes):
-    """A sort key that counts how often it is compared."""
+    """A sort key; the class counts the comparisons of all such keys."""
 
     comparisons = 0
 
@@ -134,7 +134,7 @@
 
 
 class HashCounter:
-    """Counts the sort keys that rings have made."""
+    """Counts the sort keys that rings have computed."""
 
     def __init__(self) -> None:
         self.count = 0
@@ -142,7 +142,7 @@
 
 @pytest.fixture
 def hashes(monkeypatch: pytest.MonkeyPatch) -> HashCounter:
-    """Counts the hashes of all rings; their sort keys count comparisons."""
+    """Count the sort keys that all rings compute, and make them `CountingKey`s."""
     counter = HashCounter()
     sort_key = Ring.sort_key
 
@@ -155,7 +155,7 @@
 
 
 class ChangeCost(NamedTuple):
-    """What a new backend and the drain and removal of another one cost together, on average."""
+    """The mean cost of three changes together: a new backend, and the drain and removal of another one."""
 
     hashes: float
     comparisons: float
@@ -163,7 +163,7 @@
 
 
 def measure_changes(list_length: int, hashes: HashCounter) -> ChangeCost:
-    """The cost of changes in a list of that length, at a gateway of a large fleet."""
+    """Measure the cost of changes in a list of `list_length` backends, at a gateway of a large fleet."""
     created: Counter[int] = Counter()
 
     def create_backend(endpoint: Endpoint) -> int:
@@ -196,7 +196,7 @@
 
 
 def test_the_cost_of_a_change_grows_with_the_logarithm_of_the_list(hashes: HashCounter) -> None:
-    """Sorting and hashing a long list at every change would delay all requests by a tenth of a second."""
+    """Guards against sorting and hashing a long list at every change, which delays all requests by 0.1 s."""
     in_short_list = measure_changes(2_000, hashes)
     in_long_list = measure_changes(39_000, hashes)
 
@@ -214,7 +214,7 @@
     apply_in_parts(subset, UpdateKind.SNAPSHOT, endpoints, part_count=313)
 
     assert subset.is_rebuilding
-    assert hashes.count == 0, "no endpoint is hashed before all are known"
+    assert hashes.count == 0, "no endpoint is hashed before the snapshot is complete"
     steps = 0
     while subset.is_rebuilding:
         hashes_before = hashes.count
