--- a/tests/policy/test_load_balancing.py
+++ b/tests/policy/test_load_balancing.py
@@ -30,7 +30,7 @@
 
 
 def create_fleet(gateway_count: int, endpoints: list[Endpoint]) -> list[PolicyHarness]:
-    """All gateways of a fleet, with the same endpoint list."""
+    """Create all gateways of a fleet, with the same endpoint list."""
     return [
         PolicyHarness.without_quotas(endpoints, gateway_count=gateway_count, gateway_index=index)
         for index in range(gateway_count)
@@ -60,7 +60,7 @@
     assert backends_used(unlimited_harness, 5) == {2}
 
 
-def test_a_failed_watch_leaves_the_last_list_in_force() -> None:
+def test_a_failed_watch_keeps_the_last_endpoint_list() -> None:
     harness = PolicyHarness.without_quotas(polls_endpoints=True)
 
     harness.deliver(EndpointUpdate(UpdateKind.WATCH_FAILED, ()))
@@ -80,7 +80,7 @@
 
 
 def test_each_gateway_of_a_large_fleet_uses_few_backends_and_all_are_covered_evenly() -> None:
-    """A gateway that meets each backend once a minute cannot tell an outlier from the others."""
+    """A gateway that uses each backend only once a minute cannot detect an outlier."""
     backend_count = 70
     gateway_count = 300
     fleet = create_fleet(gateway_count, ready_endpoints(range(backend_count), cells=1))
@@ -88,21 +88,23 @@
     subsets = [subset_ids(harness) for harness in fleet]
 
     assert all(8 <= len(subset) <= 16 for subset in subsets)
-    users = [sum(backend_id in subset for subset in subsets) for backend_id in range(backend_count)]
-    assert min(users) >= 0.6 * gateway_count * 8 / backend_count
-    assert max(users) <= 1.4 * gateway_count * 8 / backend_count
+    gateways_per_backend = [
+        sum(backend_id in subset for subset in subsets) for backend_id in range(backend_count)
+    ]
+    assert min(gateways_per_backend) >= 0.6 * gateway_count * 8 / backend_count
+    assert max(gateways_per_backend) <= 1.4 * gateway_count * 8 / backend_count
 
 
 def test_forty_gateways_use_few_backends_each_and_cover_all_evenly() -> None:
-    """A backend met once in ten seconds cannot be judged, and each attempt there opens a connection."""
+    """A backend used only once in ten seconds cannot be scored, and each attempt there opens a connection."""
     fleet = create_fleet(40, ready_endpoints(range(60), cells=1))
 
     subsets = [subset_ids(harness) for harness in fleet]
 
-    users = [sum(backend_id in subset for subset in subsets) for backend_id in range(60)]
+    gateways_per_backend = [sum(backend_id in subset for subset in subsets) for backend_id in range(60)]
     assert all(len(subset) <= 20 for subset in subsets)
-    assert min(users) >= 8
-    assert max(users) <= 12
+    assert min(gateways_per_backend) >= 8
+    assert max(gateways_per_backend) <= 12
 
 
 def test_a_subset_hardly_changes_with_new_backends() -> None:
@@ -113,12 +115,14 @@
         harness.deliver(delta(create_endpoint(60), create_endpoint(61), create_endpoint(62)))
 
     subsets_after = [subset_ids(harness) for harness in fleet]
-    common = [len(before & after) for before, after in zip(subsets_before, subsets_after, strict=True)]
-    assert sum(common) >= 0.8 * sum(map(len, subsets_before))
+    retained_counts = [
+        len(before & after) for before, after in zip(subsets_before, subsets_after, strict=True)
+    ]
+    assert sum(retained_counts) >= 0.8 * sum(map(len, subsets_before))
 
 
 def count_served(harness: PolicyHarness, request_count: int) -> int:
-    """Attempts of so many requests, which end at once."""
+    """Send `request_count` requests, end their attempts at once, and return the number of attempts."""
     served = 0
     for _ in range(request_count):
         for attempt in attempts_in(harness.request()):
@@ -128,7 +132,7 @@
     return served
 
 
-def test_a_fleet_whose_backends_all_warm_up_serves_few_requests_and_then_all() -> None:
+def test_a_gateway_whose_backends_all_warm_up_serves_few_requests_and_then_all() -> None:
     started_at = 9_900.0  # 100 ms before the first request
     harness = PolicyHarness.without_quotas(
         [create_endpoint(backend_id, started_at=started_at) for backend_id in (1, 2, 3)]
@@ -142,7 +146,7 @@
 
 
 def test_all_gateways_together_send_a_new_backend_less_than_its_initial_capacity() -> None:
-    """Slow start must bound the fleet's total: a little from each of many gateways is an overload."""
+    """Slow start must bound the total load: a little from each of many gateways adds up to an overload."""
     new_backend = 5
     backend_count = 20
     gateway_count = 200
@@ -160,12 +164,12 @@
             harness.end_attempt(attempt)
             attempts.append(attempt.backend_id)
 
-    fair_count = gateway_count * requests_per_gateway / backend_count
-    assert attempts.count(new_backend) <= SAFETY_RULES.initial_capacity * fair_count
+    mean_attempts_per_backend = gateway_count * requests_per_gateway / backend_count
+    assert attempts.count(new_backend) <= SAFETY_RULES.initial_capacity * mean_attempts_per_backend
 
 
 def test_a_new_backend_gets_few_attempts_until_it_has_warmed_up(unlimited_harness: PolicyHarness) -> None:
-    """A backend that gets its full load while it warms up fails, and again after each restart."""
+    """A backend that gets its full load while it warms up fails, and fails again after each restart."""
     harness = unlimited_harness
     new_backend = 9
     serve_steadily(harness, 400)
@@ -185,7 +189,7 @@
 
 
 def retry_backends(endpoints: list[Endpoint]) -> set[int]:
-    """The backends of the second attempts of requests whose first attempt may have run."""
+    """Return the ids of the backends that get the retries of attempts that may have run."""
     used: set[int] = set()
     for seed in range(40):
         harness = PolicyHarness(endpoints, seed=seed, plans=(FREE,))
@@ -199,14 +203,14 @@
 
 @pytest.fixture
 def warming_endpoints() -> list[Endpoint]:
-    """Backends that have half of their capacity when the harness starts."""
+    """Backends that are halfway through their slow start when the harness starts."""
     return [create_endpoint(backend_id, started_at=5_000) for backend_id in range(10, 16)]
 
 
 def test_retries_of_attempts_that_may_have_run_go_to_warm_backends(
     warming_endpoints: list[Endpoint],
 ) -> None:
-    """While many attempts fail, the retries of all gateways would come on top of a warming backend's load."""
+    """While many attempts fail, the retries of all gateways would add to the load of a warming backend."""
     warm_endpoints = [create_endpoint(1), create_endpoint(2)]
 
     assert retry_backends([*warm_endpoints, *warming_endpoints]) == {1, 2}
