--- a/gateway/__main__.py
+++ b/gateway/__main__.py
@@ -12,7 +12,7 @@
 from .network.process.configuration import ConfigurationError
 from .network.process.signals import run_until_signalled
 
-BAD_CONFIGURATION = 2
+BAD_CONFIGURATION_STATUS = 2
 """Exit status where the configuration is missing or not valid."""
 
 
@@ -29,12 +29,12 @@
     path = os.environ.get("LB_CONFIG")
     if not path:
         print("gateway: LB_CONFIG is not set", file=sys.stderr)
-        return BAD_CONFIGURATION
+        return BAD_CONFIGURATION_STATUS
     try:
         uvloop.run(run_until_signalled(path))
     except (ConfigurationError, EndpointListError) as error:
         print(f"gateway: bad configuration: {error}", file=sys.stderr)
-        return BAD_CONFIGURATION
+        return BAD_CONFIGURATION_STATUS
     return 0
 
 
--- a/gateway/network/process/configuration.py
+++ b/gateway/network/process/configuration.py
@@ -103,14 +103,14 @@
         ConfigurationError: a required key is missing, or a value has the wrong type or form.
     """
     try:
-        return _translate(document)
+        return _build_config(document)
     except KeyError as error:
         raise ConfigurationError(f"key {error} is missing") from error
     except (TypeError, ValueError, AttributeError, OverflowError) as error:
         raise ConfigurationError(f"a value has the wrong type or form: {error}") from error
 
 
-def _translate(document: dict[str, Any]) -> GatewayConfig:
+def _build_config(document: dict[str, Any]) -> GatewayConfig:
     """The configuration that the platform's document means."""
     settings = document[SETTINGS]
     capabilities = settings.get(CAPABILITIES) or {}
--- a/gateway/network/process/descriptor_budget.py
+++ b/gateway/network/process/descriptor_budget.py
@@ -5,10 +5,10 @@
 import resource
 from typing import NamedTuple
 
-CLIENT_SHARE = 0.5
+MAX_CLIENT_SHARE = 0.5
 """Largest fraction of the descriptors for clients' connections."""
 
-BACKEND_SHARE = 0.25
+MAX_BACKEND_SHARE = 0.25
 """Largest fraction of the descriptors for connections to backends."""
 
 RESERVED_DESCRIPTORS = 40
@@ -32,15 +32,15 @@
     Idle clients may take all descriptors of their share. The reserve keeps some for the endpoint watch, which
     would otherwise miss drains, and for the counter.
     """
-    available = _within_system_limit(configured)
+    available = _cap_at_soft_limit(configured)
     unreserved = max(0, available - RESERVED_DESCRIPTORS)
     return DescriptorBudget(
-        client_connections=max(1, min(int(available * CLIENT_SHARE), unreserved * 2 // 3)),
-        backend_connections=max(1, min(int(available * BACKEND_SHARE), unreserved // 3)),
+        client_connections=max(1, min(int(available * MAX_CLIENT_SHARE), unreserved * 2 // 3)),
+        backend_connections=max(1, min(int(available * MAX_BACKEND_SHARE), unreserved // 3)),
     )
 
 
-def _within_system_limit(configured: int) -> int:
+def _cap_at_soft_limit(configured: int) -> int:
     soft_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft_limit == resource.RLIM_INFINITY:
         return configured
--- a/gateway/network/process/parts.py
+++ b/gateway/network/process/parts.py
@@ -24,13 +24,13 @@
 
 BYTES_PER_MB = 2**20
 
-BUFFER_SHARE = 0.2
+BUFFER_MEMORY_SHARE = 0.2
 """Fraction of the memory limit for incomplete replies of backends, and as much for unsent replies."""
 
-WATCH_RETRY_SHARE = 0.25
+WATCH_RETRY_GRACE_SHARE = 0.25
 """Fraction of the drain grace after which another watch is opened beside one without a response."""
 
-MIN_WATCH_RETRY_S = 0.05
+MIN_WATCH_RETRY_INTERVAL_S = 0.05
 """Least time until another watch is opened beside one without a response, in seconds."""
 
 
@@ -45,7 +45,7 @@
         self._timers = timers
         self._loop = asyncio.get_running_loop()
         self._budget = budget_descriptors(config.max_descriptors)
-        self._buffer_bytes = int(config.memory_mb * BUFFER_SHARE * BYTES_PER_MB)
+        self._buffer_bytes = int(config.memory_mb * BUFFER_MEMORY_SHARE * BYTES_PER_MB)
 
     def create_backend_pool(self, pool_type: type[BackendPool] = BackendPool) -> BackendPool:
         """Create the pool of connections to backends, of another type for a simulated one."""
@@ -109,4 +109,4 @@
 
 def _watch_retry_interval_s(rules: SafetyRules) -> float:
     """Seconds after which another watch is opened beside one without a response."""
-    return max(MIN_WATCH_RETRY_S, rules.drain_grace_ms / MS_PER_S * WATCH_RETRY_SHARE)
+    return max(MIN_WATCH_RETRY_INTERVAL_S, rules.drain_grace_ms / MS_PER_S * WATCH_RETRY_GRACE_SHARE)
--- a/gateway/network/process/reload.py
+++ b/gateway/network/process/reload.py
@@ -39,14 +39,14 @@
 
 
 def reload_addresses(
-    load: Callable[[], GatewayConfig], watcher: EndpointWatcher, counter: CounterClient | None
+    load_config: Callable[[], GatewayConfig], watcher: EndpointWatcher, counter: CounterClient | None
 ) -> None:
     """Move to the addresses in the configuration; all other settings stay as they were at the start.
 
     A configuration that cannot be read is logged and changes nothing.
     """
     try:
-        config = load()
+        config = load_config()
     except ConfigurationError as error:
         log.error("reload failed, the old configuration stays in force: %s", error)
         return
--- a/gateway/network/process/server.py
+++ b/gateway/network/process/server.py
@@ -42,7 +42,7 @@
         self,
         config: GatewayConfig,
         *,
-        load: Callable[[], GatewayConfig] | None = None,
+        load_config: Callable[[], GatewayConfig] | None = None,
         reload_signal: ReloadSignal | None = None,
         shutdown_schedule: ShutdownSchedule | None = None,
     ) -> None:
@@ -50,19 +50,19 @@
 
         Args:
             config: what the gateway starts with.
-            load: gives the configuration that a reload takes its addresses from.
-            reload_signal: asks for reloads; without it, or without `load`, there are none.
+            load_config: gives the configuration that a reload takes its addresses from.
+            reload_signal: asks for reloads; without it, or without `load_config`, there are none.
             shutdown_schedule: in place of the one that suits the settings.
         """
         self._config = config
-        self._load = load
+        self._load_config = load_config
         self._reload_signal = reload_signal
-        self._schedule = shutdown_schedule or ShutdownSchedule.for_settings(config.settings)
+        self._shutdown_schedule = shutdown_schedule or ShutdownSchedule.for_settings(config.settings)
         self._loop = asyncio.get_running_loop()
-        self._parts = PartFactory(config, TimerQueue(self._loop))
-        self._backends = self._parts.create_backend_pool()
-        self._counter = self._parts.create_counter_client()
-        self._dispatcher = self._parts.create_dispatcher(self._backends, self._counter)
+        self._part_factory = PartFactory(config, TimerQueue(self._loop))
+        self._backends = self._part_factory.create_backend_pool()
+        self._counter = self._part_factory.create_counter_client()
+        self._dispatcher = self._part_factory.create_dispatcher(self._backends, self._counter)
 
     async def run(self, stop: asyncio.Event, on_ready: Callable[[int], None] | None = None) -> None:
         """Serve until `stop` is set, then shut down gracefully.
@@ -71,21 +71,21 @@
         the run with its exception.
         """
         version = self._apply_cached_endpoints()
-        watcher = self._parts.create_watcher(version, self._dispatcher.on_endpoints)
-        watch = self._loop.create_task(watcher.run())
-        stopped = self._loop.create_task(stop.wait())
+        watcher = self._part_factory.create_watcher(version, self._dispatcher.on_endpoints)
+        watch_task = self._loop.create_task(watcher.run())
+        stop_task = self._loop.create_task(stop.wait())
         try:
             if not self._config.settings.polls_endpoints:
-                await self._await_first_snapshot(watcher, watch, stopped)
+                await self._await_first_snapshot(watcher, watch_task, stop_task)
             listener = self._start_listening(watcher, on_ready)
-            await asyncio.wait({stopped, watch}, return_when=asyncio.FIRST_COMPLETED)
-            if watch.done():
-                watch.result()  # ended by a fault: crash visibly rather than serve by an outdated list
+            await asyncio.wait({stop_task, watch_task}, return_when=asyncio.FIRST_COMPLETED)
+            if watch_task.done():
+                watch_task.result()  # ended by a fault: crash visibly rather than serve by an outdated list
             await self._shut_down(listener)
         finally:
-            watch.cancel()
-            stopped.cancel()
-            await asyncio.wait({watch, stopped})
+            watch_task.cancel()
+            stop_task.cancel()
+            await asyncio.wait({watch_task, stop_task})
         self._close_connections()
 
     # ---- start ----
@@ -113,26 +113,26 @@
         return cached.version if self._config.settings.polls_endpoints else None
 
     async def _await_first_snapshot(
-        self, watcher: EndpointWatcher, watch: asyncio.Task[None], stopped: asyncio.Task[bool]
+        self, watcher: EndpointWatcher, watch_task: asyncio.Task[None], stop_task: asyncio.Task[bool]
     ) -> None:
         """Wait for the first snapshot, but no longer than an agent that responds takes."""
-        received = self._loop.create_task(watcher.snapshot_received.wait())
+        snapshot_task = self._loop.create_task(watcher.snapshot_received.wait())
         try:
             await asyncio.wait(
-                {received, watch, stopped},
+                {snapshot_task, watch_task, stop_task},
                 timeout=FIRST_SNAPSHOT_TIMEOUT_S,
                 return_when=asyncio.FIRST_COMPLETED,
             )
         finally:
-            received.cancel()
+            snapshot_task.cancel()
 
     def _start_listening(
         self, watcher: EndpointWatcher, on_ready: Callable[[int], None] | None
     ) -> ClientListener:
         """Let clients connect, and connect the reload signal."""
-        listener = self._parts.create_listener(self._dispatcher)
-        if self._reload_signal is not None and self._load is not None:
-            self._reload_signal.connect(partial(reload_addresses, self._load, watcher, self._counter))
+        listener = self._part_factory.create_listener(self._dispatcher)
+        if self._reload_signal is not None and self._load_config is not None:
+            self._reload_signal.connect(partial(reload_addresses, self._load_config, watcher, self._counter))
         address = self._config.listen_address
         port = listener.listen(*address)
         gc.collect()
@@ -146,20 +146,20 @@
 
     async def _shut_down(self, listener: ClientListener) -> None:
         """Keep serving for a while, then close clients' connections as their requests end."""
-        began_at = self._loop.time()
+        began_at_s = self._loop.time()
         log.info(
             "gateway %s draining: %d requests open; serving for %.2f s more, "
             "requests still open after %.2f s will fail",
             self._config.name,
             self._dispatcher.open_request_count,
-            self._schedule.keep_serving_s,
-            self._schedule.fail_requests_s,
+            self._shutdown_schedule.keep_serving_s,
+            self._shutdown_schedule.fail_requests_s,
         )
         failed_requests = 0
-        await asyncio.sleep(self._schedule.keep_serving_s)
+        await asyncio.sleep(self._shutdown_schedule.keep_serving_s)
         listener.begin_shutdown()
         try:
-            async with asyncio.timeout_at(began_at + self._schedule.fail_requests_s):
+            async with asyncio.timeout_at(began_at_s + self._shutdown_schedule.fail_requests_s):
                 await listener.all_closed.wait()
         except TimeoutError:
             failed_requests = await self._fail_open_requests(listener)
@@ -167,7 +167,7 @@
         log.info(
             "gateway %s drained after %.2f s: %d requests failed at the end of the shutdown",
             self._config.name,
-            self._loop.time() - began_at,
+            self._loop.time() - began_at_s,
             failed_requests,
         )
 
@@ -181,7 +181,7 @@
         )
         self._dispatcher.fail_open_requests()
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(self._schedule.close_timeout_s):
+            async with asyncio.timeout(self._shutdown_schedule.close_timeout_s):
                 await listener.all_closed.wait()
         return failed_requests
 
--- a/gateway/network/process/shutdown_schedule.py
+++ b/gateway/network/process/shutdown_schedule.py
@@ -6,13 +6,13 @@
 
 from gateway.policy.settings import Settings
 
-CLIENT_REDIRECT_S = 0.45
+CLIENT_REDIRECT_DELAY_S = 0.45
 """Time after SIGTERM in which new connections still arrive, in seconds."""
 
-LONGEST_DEADLINE_S = 3.0
+MAX_AWAITED_DEADLINE_S = 3.0
 """Longest request deadline that the platform waits for before SIGKILL, in seconds."""
 
-LAST_REPLY_S = 0.4
+FAIL_AFTER_DEADLINE_S = 0.4
 """Time after the longest deadline at which open requests fail, in seconds; SIGKILL comes 0.7 s after it."""
 
 DEFAULT_REQUEST_TIME_S = 3.0
@@ -45,12 +45,12 @@
         """
         classes = settings.request_classes
         longest_deadline_s = min(
-            LONGEST_DEADLINE_S,
+            MAX_AWAITED_DEADLINE_S,
             max((c.deadline_ms / 1000 for c in classes), default=DEFAULT_REQUEST_TIME_S),
         )
         objective_s = max((c.latency_objective_ms / 1000 for c in classes), default=DEFAULT_REQUEST_TIME_S)
-        fail_requests_s = longest_deadline_s + LAST_REPLY_S
+        fail_requests_s = longest_deadline_s + FAIL_AFTER_DEADLINE_S
         return cls(
-            keep_serving_s=max(CLIENT_REDIRECT_S, fail_requests_s - objective_s),
+            keep_serving_s=max(CLIENT_REDIRECT_DELAY_S, fail_requests_s - objective_s),
             fail_requests_s=fail_requests_s,
         )
--- a/gateway/network/process/signals.py
+++ b/gateway/network/process/signals.py
@@ -26,6 +26,6 @@
         loop.add_signal_handler(signum, stop.set)
     # SIGHUP needs a handler before anything else starts: its default action ends the process.
     loop.add_signal_handler(signal.SIGHUP, reload_signal.trigger)
-    load = partial(load_config, path)
-    server = GatewayServer(load(), load=load, reload_signal=reload_signal)
+    read_config = partial(load_config, path)
+    server = GatewayServer(read_config(), load_config=read_config, reload_signal=reload_signal)
     await server.run(stop)
--- a/gateway/network/timers.py
+++ b/gateway/network/timers.py
@@ -14,13 +14,13 @@
 import time
 from collections.abc import Callable
 
-_OFFSET_MS = time.time() * 1000 - time.monotonic() * 1000
+_UNIX_OFFSET_MS = time.time() * 1000 - time.monotonic() * 1000
 """Milliseconds from the monotonic clock to Unix time, as read at the start of the process."""
 
 
 def now_ms() -> float:
     """Return the time in Unix milliseconds; it never decreases."""
-    return time.monotonic() * 1000 + _OFFSET_MS
+    return time.monotonic() * 1000 + _UNIX_OFFSET_MS
 
 
 class Timer:
@@ -44,33 +44,33 @@
         # Due time, serial number and timer. Plain tuples, as there are several for each request and the heap
         # compares them in C; the serial number keeps timers of one moment in the order they were made.
         self._heap: list[tuple[float, int, Timer]] = []
-        self._serial = itertools.count()
-        self._handle: asyncio.TimerHandle | None = None
-        self._handle_due_ms = math.inf
+        self._serial_numbers = itertools.count()
+        self._loop_timer: asyncio.TimerHandle | None = None
+        self._loop_timer_due_ms = math.inf
 
     def call_at(self, due_ms: float, callback: Callable[[], None]) -> Timer:
         """Call `callback` once, as soon as `now_ms` has reached `due_ms`."""
         timer = Timer(callback)
-        heapq.heappush(self._heap, (due_ms, next(self._serial), timer))
-        if due_ms < self._handle_due_ms:
-            self._arm(due_ms)
+        heapq.heappush(self._heap, (due_ms, next(self._serial_numbers), timer))
+        if due_ms < self._loop_timer_due_ms:
+            self._set_loop_timer(due_ms)
         return timer
 
-    def _arm(self, due_ms: float) -> None:
-        if self._handle is not None:
-            self._handle.cancel()
-        self._handle_due_ms = due_ms
-        self._handle = self._loop.call_later(max(0.0, due_ms - now_ms()) / 1000, self._run)
+    def _set_loop_timer(self, due_ms: float) -> None:
+        if self._loop_timer is not None:
+            self._loop_timer.cancel()
+        self._loop_timer_due_ms = due_ms
+        self._loop_timer = self._loop.call_later(max(0.0, due_ms - now_ms()) / 1000, self._run)
 
     def _run(self) -> None:
-        self._handle = None
-        self._handle_due_ms = -math.inf  # callbacks that add timers do not arm it: that is done below
+        self._loop_timer = None
+        self._loop_timer_due_ms = -math.inf  # callbacks that add timers do not set it: that is done below
         try:
             self._call_due()
         finally:
-            self._handle_due_ms = math.inf
+            self._loop_timer_due_ms = math.inf
             if self._heap:
-                self._arm(self._heap[0][0])
+                self._set_loop_timer(self._heap[0][0])
 
     def _call_due(self) -> None:
         """Call back all timers that are due, and drop cancelled ones at the head of the queue.
@@ -80,7 +80,8 @@
         """
         heap = self._heap
         now = now_ms()
-        first_new_serial = next(self._serial)  # timers added by callbacks wait for the event loop's next turn
+        # Timers added by callbacks wait for the event loop's next turn.
+        first_new_serial = next(self._serial_numbers)
         while heap:
             due_ms, serial, timer = heap[0]
             if timer.callback is not None and (due_ms > now or serial >= first_new_serial):
--- a/gateway/settings_document.py
+++ b/gateway/settings_document.py
@@ -17,7 +17,7 @@
     Settings,
 )
 
-Term = TypeVar("Term")
+Choice = TypeVar("Choice")
 
 # Keys of the settings.
 GATEWAY_INDEX = "selfIndex"
@@ -68,18 +68,18 @@
 COUNTER_TIMEOUT_MS = "countWait"
 MAX_REQUEST_COST = "unitsTop"
 
-POLLED = "ask"
+POLLED_SOURCE = "ask"
 """The endpoint source that has to be polled."""
 
 SCOPE_ALL = "all"
 """The deduplication scope of all backends, which is the default."""
 
-IDEMPOTENCY_BY_WORD = {
+IDEMPOTENCY_BY_VALUE = {
     "pure": Idempotency.IDEMPOTENT,
     "token": Idempotency.WITH_KEY,
     "side_effect": Idempotency.UNSAFE,
 }
-DEDUPLICATION_SCOPE_BY_WORD = {
+DEDUPLICATION_SCOPE_BY_VALUE = {
     SCOPE_ALL: DeduplicationScope.ALL,
     "zone": DeduplicationScope.ZONE,
     "cell": DeduplicationScope.CELL,
@@ -113,7 +113,7 @@
         hedging_allowed=bool(capabilities.get(HEDGING_ALLOWED)),
         cancellation_supported=bool(capabilities.get(CANCELLATION_SUPPORTED)),
         counter_available=bool(counter.get(COUNTER_AVAILABLE)),
-        polls_endpoints=document.get(ENDPOINT_SOURCE) == POLLED,
+        polls_endpoints=document.get(ENDPOINT_SOURCE) == POLLED_SOURCE,
         max_retry_after_ms=float(capabilities.get(MAX_RETRY_AFTER_MS) or 0) if retry_after_supported else 0.0,
         counter_timeout_ms=float(counter.get(COUNTER_TIMEOUT_MS) or 0),
         max_request_cost=float(counter.get(MAX_REQUEST_COST) or 1),
@@ -127,9 +127,9 @@
         latency_objective_ms=float(entry.get(LATENCY_OBJECTIVE_MS) or entry[DEADLINE_MS]),
         deadline_ms=float(entry[DEADLINE_MS]),
         priority_weight=float(entry.get(PRIORITY_WEIGHT) or 0),
-        idempotency=_translate(IDEMPOTENCY_BY_WORD, entry[IDEMPOTENCY], IDEMPOTENCY),
-        deduplication_scope=_translate(
-            DEDUPLICATION_SCOPE_BY_WORD, entry.get(DEDUPLICATION_SCOPE) or SCOPE_ALL, DEDUPLICATION_SCOPE
+        idempotency=_parse_choice(IDEMPOTENCY_BY_VALUE, entry[IDEMPOTENCY], IDEMPOTENCY),
+        deduplication_scope=_parse_choice(
+            DEDUPLICATION_SCOPE_BY_VALUE, entry.get(DEDUPLICATION_SCOPE) or SCOPE_ALL, DEDUPLICATION_SCOPE
         ),
         deduplication_window_ms=float(entry.get(DEDUPLICATION_WINDOW_MS) or 0),
     )
@@ -159,8 +159,8 @@
     )
 
 
-def _translate(terms: dict[str, Term], word: Any, key: str) -> Term:
-    if word not in terms:
-        expected = ", ".join(map(repr, terms))
-        raise SettingsError(f"reading the settings: expected one of {expected} for {key!r}, got {word!r}")
-    return terms[word]
+def _parse_choice(choices: dict[str, Choice], value: Any, key: str) -> Choice:
+    if value not in choices:
+        expected = ", ".join(map(repr, choices))
+        raise SettingsError(f"reading the settings: expected one of {expected} for {key!r}, got {value!r}")
+    return choices[value]
--- a/gateway/simulator/decoding.py
+++ b/gateway/simulator/decoding.py
@@ -52,7 +52,7 @@
 }
 RETRY_FLAG = 2
 """The bit of a request's flags that is set when its client has sent it before."""
-FLAGS_POSITION = 8
+FLAGS_INDEX = 8
 """Index of a request's flags among its values; they may be left out."""
 
 
@@ -80,13 +80,13 @@
 
 
 def _decode_endpoint_update(values: list[Any]) -> Event:
-    scope, _revision, entries = values[:3]
-    return EndpointUpdate(UPDATE_KINDS[scope], tuple(_decode_endpoint(entry) for entry in entries or ()))
+    kind, _revision, entries = values[:3]
+    return EndpointUpdate(UPDATE_KINDS[kind], tuple(_decode_endpoint(entry) for entry in entries or ()))
 
 
 def _decode_request(values: list[Any]) -> Event:
-    request_id, request_class, plan, customer, deadline, cost, set_size, set_start = values[:FLAGS_POSITION]
-    flags = values[FLAGS_POSITION] if len(values) > FLAGS_POSITION else 0
+    request_id, request_class, plan, customer, deadline, cost, set_size, set_start = values[:FLAGS_INDEX]
+    flags = values[FLAGS_INDEX] if len(values) > FLAGS_INDEX else 0
     return RequestArrived(
         request_id=_text(request_id),
         request_class=_text(request_class),
--- a/gateway/simulator/host.py
+++ b/gateway/simulator/host.py
@@ -17,8 +17,8 @@
     EVENTS,
     GROUPS,
     INSTANCE_ID,
-    MOMENT,
     REMOVE_INSTANCE,
+    TIME_MS,
 )
 
 
@@ -61,16 +61,16 @@
         groups: list[ActionGroup] = []
         try:
             batch: Batch = json.loads(line)
-            now = float(batch[MOMENT])
+            now_ms = float(batch[TIME_MS])
             for group in batch[GROUPS]:
-                actions = self._handle_group(now, group)
+                actions = self._handle_group(now_ms, group)
                 if actions:
                     groups.append({INSTANCE_ID: group[INSTANCE_ID], ACTIONS: actions})
         except (ValueError, KeyError, TypeError, AttributeError, IndexError) as error:
             raise WireFormatError(f"handling a batch: {type(error).__name__}: {error}") from error
         return _encode_json({GROUPS: groups})
 
-    def _handle_group(self, now: float, group: EventGroup) -> list[WireAction]:
+    def _handle_group(self, now_ms: float, group: EventGroup) -> list[WireAction]:
         instance_id = int(group[INSTANCE_ID])
         policy = self._policies.get(instance_id)
         actions: list[WireAction] = []
@@ -89,5 +89,5 @@
                 continue
             event = decode_event(name, values)
             if event is not None:
-                actions += encode_actions(policy.handle(now, event))
+                actions += encode_actions(policy.handle(now_ms, event))
         return actions
--- a/gateway/simulator/wire_names.py
+++ b/gateway/simulator/wire_names.py
@@ -3,7 +3,7 @@
 from typing import Final
 
 # Keys of a batch of events and of the reply to it.
-MOMENT: Final = "moment"
+TIME_MS: Final = "moment"
 """The simulated time, in milliseconds."""
 GROUPS: Final = "groups"
 INSTANCE_ID: Final = "gatewayId"
--- a/tests/network/process/test_configuration.py
+++ b/tests/network/process/test_configuration.py
@@ -30,7 +30,7 @@
     assert config.seed == 255
 
 
-def test_settings_are_those_of_the_simulator_s_wire(config: GatewayConfig) -> None:
+def test_settings_have_the_keys_of_the_simulator_protocol(config: GatewayConfig) -> None:
     assert config.settings.gateway_index == 2
     assert config.settings.max_attempts == 4
     assert config.keepalive_ms == 9000.0
@@ -76,7 +76,7 @@
         load_config(str(path))
 
 
-def test_address_reads_as_it_is_written() -> None:
+def test_parsed_address_converts_back_to_the_same_text() -> None:
     address = parse_address("10.2.0.1:8500")
 
     assert address == ("10.2.0.1", 8500)
--- a/tests/network/process/test_deployment_settings.py
+++ b/tests/network/process/test_deployment_settings.py
@@ -13,7 +13,7 @@
 from tests.support.gateway_harness import SETTINGS, GatewayHarness, running_gateway
 from tests.support.request_commands import request_command
 
-VALUE = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
+VALUE_REPLY = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 SHORT_DEADLINE_MS = 400.0
 LONG_DEADLINE_MS = 9_000.0
 
@@ -81,8 +81,8 @@
 """All backends of the tests are in one zone and cell, so each recognises the others' idempotency keys."""
 
 CASES = [
-    (name, class_index)
-    for name, settings in DEPLOYMENTS.items()
+    (deployment_name, class_index)
+    for deployment_name, settings in DEPLOYMENTS.items()
     for class_index in range(len(settings["classes"]))
 ]
 
@@ -111,9 +111,9 @@
     return await peer.receive()
 
 
-@pytest.mark.parametrize(("name", "class_index"), CASES)
-def test_broken_attempt_is_retried_only_as_the_class_allows(name: str, class_index: int) -> None:
-    settings = DEPLOYMENTS[name]
+@pytest.mark.parametrize(("deployment_name", "class_index"), CASES)
+def test_broken_attempt_is_retried_only_as_the_class_allows(deployment_name: str, class_index: int) -> None:
+    settings = DEPLOYMENTS[deployment_name]
     is_retried = settings["classes"][class_index]["effect"] in RETRIED_EFFECTS
 
     async def scenario() -> None:
@@ -121,7 +121,7 @@
 
         async def break_second_attempt(command: list[bytes]) -> ScriptedReply:
             attempts.append(command[2])
-            return b"" if command[2] == b"breaks" and len(attempts) == 2 else VALUE
+            return b"" if command[2] == b"breaks" and len(attempts) == 2 else VALUE_REPLY
 
         harness = GatewayHarness(FakeBackend(break_second_attempt), FakeBackend(break_second_attempt))
         harness.settings = settings
@@ -140,10 +140,10 @@
     run_in_loop(scenario)
 
 
-@pytest.mark.parametrize(("name", "class_index"), [case for case in CASES if case[0] != "long"])
-def test_backend_that_hangs_costs_no_client_its_reply(name: str, class_index: int) -> None:
+@pytest.mark.parametrize(("deployment_name", "class_index"), [case for case in CASES if case[0] != "long"])
+def test_backend_that_hangs_costs_no_client_its_reply(deployment_name: str, class_index: int) -> None:
     """One final reply before the deadline; a non-idempotent request that may have run is not rejected."""
-    settings = DEPLOYMENTS[name]
+    settings = DEPLOYMENTS[deployment_name]
     given_class = settings["classes"][class_index]
 
     async def never_reply(_command: list[bytes]) -> ScriptedReply:
@@ -171,9 +171,9 @@
     run_in_loop(scenario)
 
 
-@pytest.mark.parametrize("name", DEPLOYMENTS)
-def test_quota_and_retry_after_are_those_of_the_settings(name: str) -> None:
-    settings = DEPLOYMENTS[name]
+@pytest.mark.parametrize("deployment_name", DEPLOYMENTS)
+def test_quota_and_retry_after_are_those_of_the_settings(deployment_name: str) -> None:
+    settings = DEPLOYMENTS[deployment_name]
     capabilities = settings["caps"]
 
     async def scenario() -> None:
--- a/tests/network/process/test_descriptor_budget.py
+++ b/tests/network/process/test_descriptor_budget.py
@@ -20,7 +20,7 @@
 from tests.support.request_commands import request_command
 from tests.support.resp_peer import LOCAL, RespPeer
 
-VALUE = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
+VALUE_REPLY = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 LONG_CLASS = {**SETTINGS["classes"][0], "aim": 50_000.0, "deadline": 60_000.0}
 
 
@@ -48,14 +48,14 @@
 class UnavailableDiscovery(FakeDiscovery):
     """Discovery that is down at first: connections are refused, or calls get no response."""
 
-    def __init__(self, *, accepts_calls: bool) -> None:
+    def __init__(self, *, accepts_connections: bool) -> None:
         super().__init__()
-        self.accepts_calls = accepts_calls
+        self.accepts_connections = accepts_connections
         self.reservation = reserve_port()
         self.recovered = asyncio.Event()
 
     async def start(self) -> None:
-        if self.accepts_calls:
+        if self.accepts_connections:
             await super().start()
         else:
             self.port = port_of(self.reservation)
@@ -65,12 +65,12 @@
         await super().handle_connection(reader, writer)
 
     async def stop(self) -> None:
-        if self.accepts_calls or self.recovered.is_set():
+        if self.accepts_connections or self.recovered.is_set():
             await super().stop()
         self.reservation.close()
 
     async def recover(self) -> None:
-        if not self.accepts_calls:
+        if not self.accepts_connections:
             self.server = await asyncio.start_server(self._accept, LOCAL, self.port)
         self.recovered.set()
 
@@ -109,7 +109,9 @@
 
 
 @contextlib.asynccontextmanager
-async def launched_with_descriptors(harness: GatewayHarness, folder: Path, limit: int) -> AsyncIterator[int]:
+async def launched_with_descriptor_limit(
+    harness: GatewayHarness, folder: Path, limit: int
+) -> AsyncIterator[int]:
     """The program with `limit` descriptors by its configuration and its system; gives its port."""
     command = ("/bin/sh", "-c", f'ulimit -n {limit} && exec "{sys.executable}" -m gateway')
     with (folder / "log").open("wb") as log:
@@ -136,7 +138,7 @@
     return request_command(id, plan=b"basic", customer=b"%016x" % customer, remaining_ms=60_000)
 
 
-async def hang(peers: list[RespPeer], backend: FakeBackend) -> None:
+async def open_hanging_requests(peers: list[RespPeer], backend: FakeBackend) -> None:
     """Open a request on each connection; each takes one connection to the backend."""
     for number, peer in enumerate(peers):
         peer.send(*counted_request(b"hangs%d" % number, number))
@@ -144,7 +146,7 @@
 
 
 async def hang_or_reply(command: list[bytes]) -> ScriptedReply:
-    return None if command[2].startswith(b"hangs") else VALUE
+    return None if command[2].startswith(b"hangs") else VALUE_REPLY
 
 
 def endpoint_list(version: int, *hosts: dict[str, Any]) -> dict[str, Any]:
@@ -152,44 +154,44 @@
 
 
 @pytest.mark.parametrize("limit", [64, 96, 1024])
-@pytest.mark.parametrize("accepts_calls", [False, True], ids=["connection refused", "no response"])
+@pytest.mark.parametrize("accepts_connections", [False, True], ids=["connection refused", "no response"])
 def test_idle_clients_leave_descriptors_for_the_watch_the_counter_and_backends(
-    accepts_calls: bool, limit: int, tmp_path: Path
+    accepts_connections: bool, limit: int, tmp_path: Path
 ) -> None:
     """Clients and backends have exhausted their shares when discovery recovers and the counter reconnects."""
 
     async def scenario() -> None:
         budget = budget_descriptors(limit)
-        old = FakeBackend(hang_or_reply)
-        new = FakeBackend()
-        harness = GatewayHarness(old, new, sockets=limit)
+        old_backend = FakeBackend(hang_or_reply)
+        new_backend = FakeBackend()
+        harness = GatewayHarness(old_backend, new_backend, sockets=limit)
         harness.settings = {**SETTINGS, "classes": [LONG_CLASS]}
-        discovery = harness.discovery = UnavailableDiscovery(accepts_calls=accepts_calls)
-        harness.hosts = lambda: [endpoint_entry("h0", old.port)]  # type: ignore[method-assign]
-        async with launched_with_descriptors(harness, tmp_path, limit) as port:
-            hung = [await connect(port) for _ in range(budget.backend_connections - 1)]
-            await hang(hung, old)
+        discovery = harness.discovery = UnavailableDiscovery(accepts_connections=accepts_connections)
+        harness.hosts = lambda: [endpoint_entry("h0", old_backend.port)]  # type: ignore[method-assign]
+        async with launched_with_descriptor_limit(harness, tmp_path, limit) as port:
+            hung_peers = [await connect(port) for _ in range(budget.backend_connections - 1)]
+            await open_hanging_requests(hung_peers, old_backend)
             counter_connections = harness.counter.accepted
-            async with idle_clients(port, 2 * budget.client_connections) as idle:
+            async with idle_clients(port, 2 * budget.client_connections) as clients:
                 # More connections were closed than there are clients: the clients' share is exhausted.
-                await wait_until(lambda: idle.closed_connections > 2 * budget.client_connections)
+                await wait_until(lambda: clients.closed_connections > 2 * budget.client_connections)
                 await request_until_served(port, counted_request(b"cached", 1_000))
 
                 harness.counter.close_connections()
-                discovery.snapshot = endpoint_list(42, endpoint_entry("h1", new.port))
+                discovery.snapshot = endpoint_list(42, endpoint_entry("h1", new_backend.port))
                 await discovery.recover()
                 await wait_until(lambda: discovery.watches)
                 requests = [counted_request(b"listed%d" % number, 2_000 + number) for number in range(8)]
                 await request_until_served(port, *requests)
 
-                assert len(new.received) == 8
+                assert len(new_backend.received) == 8
                 customers_counted = budget.backend_connections + 8
                 await wait_until(
                     lambda: len({command[1] for command in harness.counter.received}) >= customers_counted
                 )
                 assert harness.counter.accepted > counter_connections
                 assert "Too many open files" not in (tmp_path / "log").read_text()
-            for peer in hung:
+            for peer in hung_peers:
                 peer.close()
 
     run_in_loop(scenario, 50)
--- a/tests/network/process/test_process_endings.py
+++ b/tests/network/process/test_process_endings.py
@@ -55,21 +55,21 @@
     run_in_loop(scenario)
 
 
-@pytest.mark.parametrize("ahead", [b"", encode_command(*request_command(b"first"))])
-def test_command_incomplete_at_sigterm_may_be_completed(ahead: bytes) -> None:
+@pytest.mark.parametrize("first_command", [b"", encode_command(*request_command(b"first"))])
+def test_command_incomplete_at_sigterm_may_be_completed(first_command: bytes) -> None:
     """The gateway must not close a connection on which a request may still be completed."""
 
     async def scenario() -> None:
         async with running_listener() as (listener, handler, port):
             command = encode_command(*request_command(b"second"))
             peer = await connect(port)
-            peer.writer.write(ahead + command[:-20])
+            peer.writer.write(first_command + command[:-20])
             await wait_until(
                 lambda: any(connection.reader.buffered_bytes for connection in listener.connections)
             )
 
             listener.begin_shutdown()
-            if ahead:
+            if first_command:
                 handler.pending["first"].complete(encode_command(b"yes"))
                 assert await peer.receive() == [b"yes"]
             peer.writer.write(command[-20:])
--- a/tests/network/process/test_starts.py
+++ b/tests/network/process/test_starts.py
@@ -20,7 +20,7 @@
 from tests.support.gateway_process import end_process, port_of, reserve_port, start_process
 from tests.support.resp_peer import LOCAL, RespPeer
 
-PROCESSES = 20
+PROCESS_COUNT = 20
 READY_SHARE = 0.9
 """Fraction of restarted processes that have to be ready in time."""
 READY_TIMEOUT_S = 10.0
@@ -32,7 +32,7 @@
 class Readiness(NamedTuple):
     """How long a process took to give its first reply, and the client that had it (None: never)."""
 
-    after_s: float
+    elapsed_s: float
     peer: RespPeer | None
 
 
@@ -44,7 +44,7 @@
 
 
 @contextlib.asynccontextmanager
-async def serving(service: FakeDiscovery) -> AsyncIterator[int]:
+async def running_discovery(service: FakeDiscovery) -> AsyncIterator[int]:
     service.snapshot["hosts"] = listed_hosts()
     await service.start()
     try:
@@ -81,9 +81,9 @@
     async with contextlib.AsyncExitStack() as stack:
         match state:
             case "up":
-                yield await stack.enter_async_context(serving(FakeDiscovery()))
+                yield await stack.enter_async_context(running_discovery(FakeDiscovery()))
             case "unresponsive":
-                yield await stack.enter_async_context(serving(UnresponsiveDiscovery()))
+                yield await stack.enter_async_context(running_discovery(UnresponsiveDiscovery()))
             case "connection refused":
                 yield stack.enter_context(closed_port())
             case "unreachable":
@@ -94,7 +94,7 @@
     return [endpoint_entry(f"h{number}", 1) for number in range(200)]
 
 
-async def first_reply(port: int, started_at: float) -> Readiness:
+async def wait_for_first_reply(port: int, started_at: float) -> Readiness:
     """Wait until a client has had a reply; the client stays connected."""
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(LAST_READY_TIMEOUT_S):
@@ -108,23 +108,23 @@
     return Readiness(math.inf, None)
 
 
-async def start_all(configs: dict[int, Path]) -> list[float]:
+async def measure_readiness(configs: dict[int, Path]) -> list[float]:
     """Start all at once and kill them once all are ready; return the times to readiness, sorted."""
     processes: list[asyncio.subprocess.Process] = []
     try:
-        waits = []
+        wait_tasks = []
         for port, config in configs.items():
             with config.with_suffix(".log").open("ab") as log:
                 processes.append(await start_process(config, stderr=log))
-            waits.append(asyncio.create_task(first_reply(port, time.monotonic())))
-        readiness = await asyncio.gather(*waits)
+            wait_tasks.append(asyncio.create_task(wait_for_first_reply(port, time.monotonic())))
+        readiness = await asyncio.gather(*wait_tasks)
     finally:
         for process in processes:
             await end_process(process)
     for _, peer in readiness:
         if peer is not None:
             peer.close()
-    return sorted(after_s for after_s, _ in readiness)
+    return sorted(elapsed_s for elapsed_s, _ in readiness)
 
 
 def write_configs(folder: Path, ports: list[int], discovery: int) -> dict[int, Path]:
@@ -141,7 +141,7 @@
 def ports() -> Iterator[list[int]]:
     """Reserved ports for the processes to listen on."""
     with contextlib.ExitStack() as stack:
-        yield [port_of(stack.enter_context(reserve_port())) for _ in range(PROCESSES)]
+        yield [port_of(stack.enter_context(reserve_port())) for _ in range(PROCESS_COUNT)]
 
 
 def last_log_lines(configs: dict[int, Path]) -> str:
@@ -160,16 +160,14 @@
     async def scenario() -> None:
         async with discovery_port(state) as discovery:
             configs = write_configs(tmp_path, ports, discovery)
-            for turn in ("first start", "restart"):
-                times_s = await start_all(configs)
+            for phase in ("first start", "restart"):
+                times_s = await measure_readiness(configs)
 
-                nine_in_ten_s = times_s[math.ceil(READY_SHARE * PROCESSES) - 1]
+                p90_s = times_s[math.ceil(READY_SHARE * PROCESS_COUNT) - 1]
                 slowest_s = times_s[-1]
-                line = (
-                    f"discovery {state}, {turn}: nine in ten {nine_in_ten_s:.2f} s, slowest {slowest_s:.2f} s"
-                )
+                line = f"discovery {state}, {phase}: nine in ten {p90_s:.2f} s, slowest {slowest_s:.2f} s"
                 print(line)
-                assert nine_in_ten_s < READY_TIMEOUT_S, line
+                assert p90_s < READY_TIMEOUT_S, line
                 assert slowest_s < LAST_READY_TIMEOUT_S, f"{line}\n{last_log_lines(configs)}"
 
     run_in_loop(scenario, 140)
