--- a/gateway/network/__init__.py
+++ b/gateway/network/__init__.py
@@ -1,1 +1,1 @@
-"""The network side of a gateway: sockets, timers and files; it carries out what the policy decides."""
+"""The network layer of a gateway: sockets, timers and files. It carries out the policy's decisions."""
--- a/gateway/network/address.py
+++ b/gateway/network/address.py
@@ -1,4 +1,4 @@
-"""TCP addresses, and the text form that configurations and endpoint lists give them in."""
+"""TCP addresses and their text form, host:port, in configurations and endpoint lists."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 
 
 class AddressError(GatewayError, ValueError):
-    """A text is no address of the form "host:port"."""
+    """Raised if a text is not an address of the form "host:port"."""
 
 
 class Address(NamedTuple):
-    """A TCP address; a plain tuple to `socket.connect`."""
+    """A TCP address; as a tuple, it can be passed to `socket.connect`."""
 
     host: str
     port: int
 
     def __str__(self) -> str:
-        """The form that `parse_address` reads."""
+        """Return the address as "host:port", which `parse_address` accepts."""
         return f"{self.host}:{self.port}"
 
 
 def parse_address(text: str) -> Address:
-    """The address that "host:port" means.
+    """Parse an address of the form "host:port".
 
     Raises:
         AddressError: `text` has no port, or one that is not a decimal number.
--- a/gateway/network/process/__init__.py
+++ b/gateway/network/process/__init__.py
@@ -1,1 +1,1 @@
-"""The process of one gateway: configuration, start, reload, shutdown and descriptors."""
+"""The gateway process: configuration, startup, reload, shutdown and file descriptor limits."""
--- a/gateway/network/process/configuration.py
+++ b/gateway/network/process/configuration.py
@@ -1,7 +1,7 @@
-"""Reads the configuration that the platform gives a gateway: the JSON file that LB_CONFIG names.
+"""The configuration file of a gateway: JSON, at the path in the environment variable LB_CONFIG.
 
-The keys of the file are the platform's. They are translated to the field's terms here and, for the `settings`
-object, in `gateway.settings_document`.
+The platform defines the keys of the file. This module maps them to the names that the gateway uses;
+`gateway.settings_document` does so for the `settings` object.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from gateway.policy.settings import Settings
 from gateway.settings_document import parse_settings
 
-# Keys of the file.
+# Top-level keys of the configuration file.
 NAME = "name"
 LISTEN_ADDRESS = "listen"
 DISCOVERY_ADDRESS = "discovery"
@@ -26,11 +26,11 @@
 CACHED_ENDPOINT_LIST = "known"
 SETTINGS = "settings"
 
-# Keys of its limits.
+# Keys of the `limits` object.
 MAX_DESCRIPTORS = "sockets"
 MEMORY_MB = "memory_mb"
 
-# Keys of its settings that the network code needs, and the policy does not.
+# Keys within the `settings` object that only the network code reads; the policy does not need them.
 CAPABILITIES = "caps"
 CONNECT_TIMEOUT_MS = "connectTimeout"
 KEEPALIVE_MS = "keepalive"
@@ -39,46 +39,46 @@
 POLL_INTERVAL_MS = "askEvery"
 
 DEFAULT_MAX_DESCRIPTORS = 1024
-"""File descriptors, where the configuration gives no limit: the usual soft limit of a process."""
+"""Default limit of open file descriptors: the usual soft limit of a process."""
 
 DEFAULT_MEMORY_MB = 64
-"""Memory in MB, where the configuration gives no limit."""
+"""Default memory limit, in MB."""
 
 DEFAULT_CONNECT_TIMEOUT_MS = 250
-"""Milliseconds until a connection to a backend has to be open, where the settings do not say."""
+"""Default timeout for opening a connection to a backend, in milliseconds."""
 
 DEFAULT_KEEPALIVE_MS = 15_000
-"""Milliseconds that a backend keeps an idle connection open, where the settings do not say."""
+"""Default time that a backend keeps an idle connection open, in milliseconds."""
 
 DEFAULT_POLL_INTERVAL_MS = 10_000
-"""Milliseconds that a polled endpoint list may be old, where the settings do not say."""
+"""Default maximum age of a polled endpoint list, in milliseconds."""
 
 DEFAULT_MAX_OPEN_REQUESTS = 10_000
-"""Requests that may be open at once, where the settings do not say."""
+"""Default limit of requests that are open at the same time."""
 
 
 class ConfigurationError(GatewayError):
-    """The configuration cannot be read, lacks a required key or has a value of the wrong type or form."""
+    """Raised if the configuration cannot be read, lacks a required key or has an invalid value."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class GatewayConfig:
-    """What one gateway needs to know to start.
+    """The configuration of one gateway.
 
     Attributes:
-        name: the gateway's name, for its log.
-        listen_address: where clients connect; port 0 means any free port.
-        discovery_address: where the endpoint list is watched or polled.
-        counter_address: the counter service, if there is one.
-        seed: of all random choices of this gateway.
-        max_descriptors: file descriptors that the process may have open.
-        memory_mb: memory that the process may take.
+        name: the gateway's name in log lines.
+        listen_address: the address that clients connect to; port 0 means any free port.
+        discovery_address: the address of discovery, where the endpoint list is watched or polled.
+        counter_address: the address of the counter, or None if the deployment has no counter.
+        seed: the seed of all random choices of this gateway.
+        max_descriptors: the maximum number of open file descriptors of the process.
+        memory_mb: the memory limit of the process, in MB.
         settings: the settings of the policy.
-        connect_timeout_ms: until a connection to a backend has to be open.
-        keepalive_ms: how long a backend keeps an idle connection open.
-        max_open_requests: how many requests may be open at once.
-        poll_interval_ms: how old a polled endpoint list may grow.
-        cached_endpoints: the endpoint list as this gateway last had it, in discovery's form; empty if none.
+        connect_timeout_ms: the timeout for opening a connection to a backend, in milliseconds.
+        keepalive_ms: how long a backend keeps an idle connection open, in milliseconds.
+        max_open_requests: the maximum number of requests that are open at the same time.
+        poll_interval_ms: the maximum age of a polled endpoint list, in milliseconds.
+        cached_endpoints: the last endpoint list that this gateway had, in discovery's format; empty if none.
     """
 
     name: str
@@ -97,10 +97,10 @@
 
 
 def parse_config(document: dict[str, Any]) -> GatewayConfig:
-    """The typed configuration of a decoded document.
+    """Parse a decoded configuration file.
 
     Raises:
-        ConfigurationError: a required key is missing, or a value has the wrong type or form.
+        ConfigurationError: a required key is missing, or a value has the wrong type or format.
     """
     try:
         return _build_config(document)
@@ -111,7 +111,7 @@
 
 
 def _build_config(document: dict[str, Any]) -> GatewayConfig:
-    """The configuration that the platform's document means."""
+    """Map the platform's keys to a `GatewayConfig`, with defaults for keys that are left out."""
     settings = document[SETTINGS]
     capabilities = settings.get(CAPABILITIES) or {}
     rules = settings.get(RULES) or {}
--- a/gateway/network/process/descriptor_budget.py
+++ b/gateway/network/process/descriptor_budget.py
@@ -1,4 +1,4 @@
-"""Division of a process's file descriptors between clients' connections and connections to backends."""
+"""Limits of client and backend connections, derived from the file descriptors of the process."""
 
 from __future__ import annotations
 
@@ -6,31 +6,31 @@
 from typing import NamedTuple
 
 MAX_CLIENT_SHARE = 0.5
-"""Largest fraction of the descriptors for clients' connections."""
+"""Maximum fraction of the file descriptors that client connections may take."""
 
 MAX_BACKEND_SHARE = 0.25
-"""Largest fraction of the descriptors for connections to backends."""
+"""Maximum fraction of the file descriptors that backend connections may take."""
 
 RESERVED_DESCRIPTORS = 40
-"""Least number of descriptors that are neither clients' nor backends'.
+"""Minimum number of file descriptors that neither client nor backend connections may take.
 
-The process itself takes 14, watches that overlap 7 and the counter 8 (at two addresses, while it moves); the
-rest is for configuration files and inherited descriptors.
+The process itself uses 14 of them, overlapping watches use 7, and the counter client uses 8 while it moves
+between two addresses. The rest is for configuration files and inherited descriptors.
 """
 
 
 class DescriptorBudget(NamedTuple):
-    """How many connections of each kind may be open at once."""
+    """The maximum number of open connections of each kind."""
 
     client_connections: int
     backend_connections: int
 
 
 def budget_descriptors(configured: int) -> DescriptorBudget:
-    """The budget of a process with `configured` descriptors, or fewer by the limit of its system.
+    """Return the budget for `configured` file descriptors, or for the process's soft limit if that is lower.
 
-    Idle clients may take all descriptors of their share. The reserve keeps some for the endpoint watch, which
-    would otherwise miss drains, and for the counter.
+    Idle clients can use up the clients' whole share. The reserved descriptors ensure that the endpoint watch
+    and the counter client can still connect; without the watch, the gateway would miss draining backends.
     """
     available = _cap_at_soft_limit(configured)
     unreserved = max(0, available - RESERVED_DESCRIPTORS)
--- a/gateway/network/process/parts.py
+++ b/gateway/network/process/parts.py
@@ -1,4 +1,4 @@
-"""Builds the parts of one gateway from its configuration; nothing is connected by that."""
+"""Construction of the components of one gateway from its configuration; it opens no connections."""
 
 from __future__ import annotations
 
@@ -25,19 +25,19 @@
 BYTES_PER_MB = 2**20
 
 BUFFER_MEMORY_SHARE = 0.2
-"""Fraction of the memory limit for incomplete replies of backends, and as much for unsent replies."""
+"""Fraction of the memory limit for incomplete backend replies, and the same again for unsent replies."""
 
 WATCH_RETRY_GRACE_SHARE = 0.25
-"""Fraction of the drain grace after which another watch is opened beside one without a response."""
+"""Fraction of the drain grace that a watch may go without a response before another is opened beside it."""
 
 MIN_WATCH_RETRY_INTERVAL_S = 0.05
-"""Least time until another watch is opened beside one without a response, in seconds."""
+"""Minimum time that a watch may go without a response before another is opened beside it, in seconds."""
 
 
 class PartFactory:
-    """Creates the parts of one gateway, each of them once.
+    """Creates the components of one gateway; call each method once.
 
-    Made within a running event loop, which drives the parts.
+    Instantiate it within the running event loop that is to run the components.
     """
 
     def __init__(self, config: GatewayConfig, timers: TimerQueue) -> None:
@@ -48,7 +48,7 @@
         self._buffer_bytes = int(config.memory_mb * BUFFER_MEMORY_SHARE * BYTES_PER_MB)
 
     def create_backend_pool(self, pool_type: type[BackendPool] = BackendPool) -> BackendPool:
-        """Create the pool of connections to backends, of another type for a simulated one."""
+        """Create the pool of backend connections; `pool_type` may be a subclass that simulates them."""
         return pool_type(
             self._loop,
             self._timers,
@@ -60,14 +60,14 @@
         )
 
     def create_counter_client(self) -> CounterClient | None:
-        """Create the client of the counter; None if the deployment has none."""
+        """Create the counter client, or return None if the deployment has no counter."""
         address = self._config.counter_address
         if address is None:
             return None
         return CounterClient(self._loop, self._timers, address, self._config.settings.counter_timeout_ms)
 
     def create_dispatcher(self, backends: BackendPool, counter: CounterClient | None) -> Dispatcher:
-        """Create the dispatcher, and with it the policy."""
+        """Create the dispatcher, which creates the policy."""
         return Dispatcher(
             self._config.settings,
             seed=self._config.seed,
@@ -78,7 +78,10 @@
         )
 
     def create_watcher(self, version: int | None, on_endpoints: EndpointListener) -> EndpointWatcher:
-        """Create the watcher of the endpoint list from `version` on; None reads a snapshot first."""
+        """Create the watcher of the endpoint list.
+
+        It watches for changes after `version`, or reads a snapshot first if `version` is None.
+        """
         settings = self._config.settings
         backoff = Backoff(
             settings.gateway_count,
@@ -95,7 +98,7 @@
         )
 
     def create_listener(self, handler: RequestHandler) -> ClientListener:
-        """Create the listener of clients, whose requests `handler` takes."""
+        """Create the listener for client connections, which passes requests to `handler`."""
         return ClientListener(
             self._loop,
             self._timers,
@@ -108,5 +111,5 @@
 
 
 def _watch_retry_interval_s(rules: SafetyRules) -> float:
-    """Seconds after which another watch is opened beside one without a response."""
+    """Return the time without a response after which another watch is opened, in seconds."""
     return max(MIN_WATCH_RETRY_INTERVAL_S, rules.drain_grace_ms / MS_PER_S * WATCH_RETRY_GRACE_SHARE)
--- a/gateway/network/process/reload.py
+++ b/gateway/network/process/reload.py
@@ -1,4 +1,4 @@
-"""Reload of the configuration of a running gateway, which SIGHUP triggers."""
+"""Configuration reload of a running gateway, triggered by SIGHUP."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 class ReloadSignal:
-    """A signal to reload, pending until a handler is connected.
+    """A reload request that stays pending until a handler is connected.
 
-    The signal may arrive while the gateway is still starting.
+    SIGHUP may arrive while the gateway is still starting.
     """
 
     def __init__(self) -> None:
@@ -24,14 +24,14 @@
         self._handler: Callable[[], None] | None = None
 
     def trigger(self) -> None:
-        """Reload now, or as soon as there is a handler."""
+        """Call the handler, or remember the signal until a handler is connected."""
         if self._handler is None:
             self._is_pending = True
         else:
             self._handler()
 
     def connect(self, handler: Callable[[], None]) -> None:
-        """Call `handler` for each signal from now on, and at once for one that came before."""
+        """Call `handler` on each signal from now on, and immediately if a signal is pending."""
         self._handler = handler
         if self._is_pending:
             self._is_pending = False
@@ -41,9 +41,10 @@
 def reload_addresses(
     load_config: Callable[[], GatewayConfig], watcher: EndpointWatcher, counter: CounterClient | None
 ) -> None:
-    """Move to the addresses in the configuration; all other settings stay as they were at the start.
+    """Reload the configuration and apply its discovery and counter addresses.
 
-    A configuration that cannot be read is logged and changes nothing.
+    All other settings keep their values from startup. If the configuration is invalid, the error is logged
+    and nothing changes.
     """
     try:
         config = load_config()
--- a/gateway/network/process/server.py
+++ b/gateway/network/process/server.py
@@ -1,6 +1,6 @@
-"""The life cycle of one gateway: start, reload and graceful shutdown.
+"""The life cycle of one gateway: startup, reload and graceful shutdown.
 
-`GatewayServer` owns the parts of a gateway and the task that watches the endpoint list.
+`GatewayServer` owns the gateway's components and the task that watches the endpoint list.
 """
 
 from __future__ import annotations
@@ -26,16 +26,16 @@
 log = logging.getLogger("gateway")
 
 FIRST_SNAPSHOT_TIMEOUT_S = 1.0
-"""Longest wait of a start for the endpoint list of discovery's agent, in seconds.
+"""Maximum time that startup waits for the endpoint list of discovery's agent, in seconds.
 
-An agent responds at once or, while discovery is down, not at all.
+The agent responds immediately, or not at all while discovery is down.
 """
 
 
 class GatewayServer:
-    """One gateway: its parts, from the start to the end of a graceful shutdown.
+    """One gateway, from startup to the end of a graceful shutdown.
 
-    Made within a running event loop, and run once.
+    Instantiate it within a running event loop, and run it once.
     """
 
     def __init__(
@@ -46,13 +46,13 @@
         reload_signal: ReloadSignal | None = None,
         shutdown_schedule: ShutdownSchedule | None = None,
     ) -> None:
-        """Build the parts; nothing is connected yet.
+        """Create the components without opening connections.
 
         Args:
-            config: what the gateway starts with.
-            load_config: gives the configuration that a reload takes its addresses from.
-            reload_signal: asks for reloads; without it, or without `load_config`, there are none.
-            shutdown_schedule: in place of the one that suits the settings.
+            config: the configuration at startup.
+            load_config: reads the configuration again for a reload, which applies its addresses.
+            reload_signal: triggers reloads; they are disabled without it or without `load_config`.
+            shutdown_schedule: replaces the schedule that is derived from the settings.
         """
         self._config = config
         self._load_config = load_config
@@ -67,8 +67,8 @@
     async def run(self, stop: asyncio.Event, on_ready: Callable[[int], None] | None = None) -> None:
         """Serve until `stop` is set, then shut down gracefully.
 
-        `on_ready` is given the port once clients may connect. A watch of the endpoint list that fails ends
-        the run with its exception.
+        `on_ready` is called with the listening port as soon as clients may connect. If the watch of the
+        endpoint list fails, its exception is raised.
         """
         version = self._apply_cached_endpoints()
         watcher = self._part_factory.create_watcher(version, self._dispatcher.on_endpoints)
@@ -80,7 +80,7 @@
             listener = self._start_listening(watcher, on_ready)
             await asyncio.wait({stop_task, watch_task}, return_when=asyncio.FIRST_COMPLETED)
             if watch_task.done():
-                watch_task.result()  # ended by a fault: crash visibly rather than serve by an outdated list
+                watch_task.result()  # raises: better to crash visibly than to serve with an outdated list
             await self._shut_down(listener)
         finally:
             watch_task.cancel()
@@ -88,15 +88,15 @@
             await asyncio.wait({watch_task, stop_task})
         self._close_connections()
 
-    # ---- start ----
+    # ---- startup ----
 
     def _apply_cached_endpoints(self) -> int | None:
-        """Put the cached list in force, if there is one.
+        """Apply the cached endpoint list, if there is one.
 
         Returns:
             The version to watch from, or None to read a snapshot first. A list that an agent pushes is
-            always read as a snapshot: the cached one may be old, and what the agent holds counts as
-            notified from the start of the process.
+            always read as a snapshot: the cached list may be outdated, and the gateway counts as notified
+            of everything in the agent's list from the start of the process.
         """
         if not self._config.cached_endpoints:
             return None
@@ -104,7 +104,7 @@
             cached = parse_endpoint_list(self._config.cached_endpoints)
         except EndpointListError as error:
             log.error(
-                "gateway %s: cached endpoint list cannot be parsed, starting without it: %s",
+                "gateway %s: invalid cached endpoint list, starting without it: %s",
                 self._config.name,
                 error,
             )
@@ -115,7 +115,7 @@
     async def _await_first_snapshot(
         self, watcher: EndpointWatcher, watch_task: asyncio.Task[None], stop_task: asyncio.Task[bool]
     ) -> None:
-        """Wait for the first snapshot, but no longer than an agent that responds takes."""
+        """Wait for the first snapshot, but no longer than a responsive agent would take."""
         snapshot_task = self._loop.create_task(watcher.snapshot_received.wait())
         try:
             await asyncio.wait(
@@ -129,14 +129,14 @@
     def _start_listening(
         self, watcher: EndpointWatcher, on_ready: Callable[[int], None] | None
     ) -> ClientListener:
-        """Let clients connect, and connect the reload signal."""
+        """Start accepting clients, and handle reload signals from now on."""
         listener = self._part_factory.create_listener(self._dispatcher)
         if self._reload_signal is not None and self._load_config is not None:
             self._reload_signal.connect(partial(reload_addresses, self._load_config, watcher, self._counter))
         address = self._config.listen_address
         port = listener.listen(*address)
         gc.collect()
-        gc.freeze()  # objects of the start live as long as the process; later collections skip them
+        gc.freeze()  # objects created at startup live as long as the process; later collections skip them
         log.info("%s serves at %s:%d", self._config.name, address.host, port)
         if on_ready is not None:
             on_ready(port)
@@ -145,7 +145,7 @@
     # ---- shutdown ----
 
     async def _shut_down(self, listener: ClientListener) -> None:
-        """Keep serving for a while, then close clients' connections as their requests end."""
+        """Keep serving for a while, then close each client connection once its requests have ended."""
         began_at_s = self._loop.time()
         log.info(
             "gateway %s draining: %d requests open; serving for %.2f s more, "
@@ -172,7 +172,7 @@
         )
 
     async def _fail_open_requests(self, listener: ClientListener) -> int:
-        """Reply to each open request with a failure, before SIGKILL would drop it; return their number."""
+        """Fail each open request with a reply, since SIGKILL would drop it silently; return their number."""
         failed_requests = self._dispatcher.open_request_count
         log.warning(
             "gateway %s: %d requests still open at the end of the shutdown; each gets a failure reply",
--- a/gateway/network/process/shutdown_schedule.py
+++ b/gateway/network/process/shutdown_schedule.py
@@ -1,4 +1,4 @@
-"""When the steps of a graceful shutdown happen."""
+"""The schedule of a graceful shutdown."""
 
 from __future__ import annotations
 
@@ -7,29 +7,32 @@
 from gateway.policy.settings import Settings
 
 CLIENT_REDIRECT_DELAY_S = 0.45
-"""Time after SIGTERM in which new connections still arrive, in seconds."""
+"""Time after SIGTERM during which clients still open new connections, in seconds."""
 
 MAX_AWAITED_DEADLINE_S = 3.0
-"""Longest request deadline that the platform waits for before SIGKILL, in seconds."""
+"""Longest request deadline that the platform waits for before it sends SIGKILL, in seconds."""
 
 FAIL_AFTER_DEADLINE_S = 0.4
-"""Time after the longest deadline at which open requests fail, in seconds; SIGKILL comes 0.7 s after it."""
+"""Time from the longest deadline until open requests are failed, in seconds.
+
+SIGKILL comes 0.7 s after the longest deadline.
+"""
 
 DEFAULT_REQUEST_TIME_S = 3.0
-"""Deadline and latency objective in seconds, where the settings have no request class."""
+"""Deadline and latency objective if the settings define no request class, in seconds."""
 
 CLOSE_TIMEOUT_S = 0.1
-"""Time for clients' connections to close once their requests have failed, in seconds."""
+"""Time for client connections to close once their requests have been failed, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownSchedule:
-    """The steps of a graceful shutdown, in seconds.
+    """The durations that define a graceful shutdown, in seconds.
 
     Attributes:
-        keep_serving_s: after SIGTERM, until clients' connections are closed.
-        fail_requests_s: after SIGTERM, until the requests that are still open are failed.
-        close_timeout_s: after that, until connections that have not closed are cut off.
+        keep_serving_s: time from SIGTERM until the gateway begins to close client connections.
+        fail_requests_s: time from SIGTERM until the requests that are still open are failed.
+        close_timeout_s: time from then on until the remaining client connections are closed anyway.
     """
 
     keep_serving_s: float
@@ -38,10 +41,10 @@
 
     @classmethod
     def for_settings(cls, settings: Settings) -> ShutdownSchedule:
-        """The schedule for the deadlines and latency objectives of the request classes.
+        """Return the schedule for the deadlines and latency objectives of the request classes.
 
-        Capacity is missing from the fleet until this gateway has restarted, so it keeps serving as long as a
-        reply can still meet its latency objective before SIGKILL.
+        The fleet lacks this gateway's capacity until it has restarted. The gateway therefore keeps serving as
+        long as a new request can still meet its latency objective before SIGKILL.
         """
         classes = settings.request_classes
         longest_deadline_s = min(
--- a/gateway/network/process/signals.py
+++ b/gateway/network/process/signals.py
@@ -1,4 +1,4 @@
-"""The life of a process that runs one gateway: signals stop it or reload its configuration."""
+"""The signals of the gateway process: SIGTERM and SIGINT stop it, SIGHUP reloads its configuration."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 async def run_until_signalled(path: str) -> None:
-    """Run the gateway that the configuration file at `path` describes, until SIGTERM or SIGINT.
+    """Run a gateway with the configuration file at `path` until SIGTERM or SIGINT.
 
     SIGHUP reloads the addresses in that file.
 
@@ -24,7 +24,7 @@
     reload_signal = ReloadSignal()
     for signum in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signum, stop.set)
-    # SIGHUP needs a handler before anything else starts: its default action ends the process.
+    # Install the SIGHUP handler before anything else: the signal's default action ends the process.
     loop.add_signal_handler(signal.SIGHUP, reload_signal.trigger)
     read_config = partial(load_config, path)
     server = GatewayServer(read_config(), load_config=read_config, reload_signal=reload_signal)
--- a/gateway/network/timers.py
+++ b/gateway/network/timers.py
@@ -1,8 +1,8 @@
 """The clock of a gateway and the queue of its timers.
 
-Times are Unix milliseconds, as the start times of backends and the counter's periods have to mean the same
-moment at all gateways. The wall clock is read once, at the start of the process, and advanced by the
-monotonic clock: stepping the wall clock neither stops timers nor expires leases.
+Times are Unix milliseconds, because all gateways must agree on the start times of backends and on the
+counter's periods. The wall clock is read once, at the start of the process, and advanced by the monotonic
+clock: a step of the wall clock neither stops timers nor expires leases.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from collections.abc import Callable
 
 _UNIX_OFFSET_MS = time.time() * 1000 - time.monotonic() * 1000
-"""Milliseconds from the monotonic clock to Unix time, as read at the start of the process."""
+"""Unix time minus monotonic time at the start of the process, in milliseconds."""
 
 
 def now_ms() -> float:
@@ -24,7 +24,7 @@
 
 
 class Timer:
-    """A call that is due at some time, made by `TimerQueue.call_at`."""
+    """A scheduled callback, created by `TimerQueue.call_at`."""
 
     __slots__ = ("callback",)
 
@@ -32,24 +32,25 @@
         self.callback: Callable[[], None] | None = callback
 
     def cancel(self) -> None:
-        """Prevent the call, unless it has been made."""
+        """Cancel the callback; does nothing once it has been called."""
         self.callback = None
 
 
 class TimerQueue:
-    """Calls back at times of `now_ms`, never before them; all timers share one timer of the event loop."""
+    """Runs callbacks at times of `now_ms`, never early; all timers share one timer of the event loop."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
-        # Due time, serial number and timer. Plain tuples, as there are several for each request and the heap
-        # compares them in C; the serial number keeps timers of one moment in the order they were made.
+        # Entries are (due time, serial number, timer). They are plain tuples because each request sets
+        # several timers and heapq compares tuples in C. The serial number orders timers with the same due
+        # time by creation.
         self._heap: list[tuple[float, int, Timer]] = []
         self._serial_numbers = itertools.count()
         self._loop_timer: asyncio.TimerHandle | None = None
         self._loop_timer_due_ms = math.inf
 
     def call_at(self, due_ms: float, callback: Callable[[], None]) -> Timer:
-        """Call `callback` once, as soon as `now_ms` has reached `due_ms`."""
+        """Schedule `callback` to be called once, as soon as `now_ms` has reached `due_ms`."""
         timer = Timer(callback)
         heapq.heappush(self._heap, (due_ms, next(self._serial_numbers), timer))
         if due_ms < self._loop_timer_due_ms:
@@ -64,7 +65,9 @@
 
     def _run(self) -> None:
         self._loop_timer = None
-        self._loop_timer_due_ms = -math.inf  # callbacks that add timers do not set it: that is done below
+        self._loop_timer_due_ms = (
+            -math.inf
+        )  # no timer that a callback adds sets the loop timer: it is set below
         try:
             self._call_due()
         finally:
@@ -73,14 +76,14 @@
                 self._set_loop_timer(self._heap[0][0])
 
     def _call_due(self) -> None:
-        """Call back all timers that are due, and drop cancelled ones at the head of the queue.
+        """Run the callbacks of all timers that are due, and drop cancelled timers at the head of the queue.
 
         No timer may fire before its due time: the policy would ignore it, and its request would never end.
-        The event loop rounds to whole milliseconds and may call early, so that each due time is checked.
+        The event loop rounds to whole milliseconds and may call early, so each due time is checked here.
         """
         heap = self._heap
         now = now_ms()
-        # Timers added by callbacks wait for the event loop's next turn.
+        # Timers that callbacks add wait for the next iteration of the event loop.
         first_new_serial = next(self._serial_numbers)
         while heap:
             due_ms, serial, timer = heap[0]
