--- a/gateway/__init__.py
+++ b/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""umbermill: an API gateway that meters many customers' use of shared backends."""
+"""umbermill: an API gateway that meters how much each customer uses shared backends."""
--- a/gateway/__main__.py
+++ b/gateway/__main__.py
@@ -1,4 +1,4 @@
-"""Runs one gateway: `python -m gateway`, with the path of its configuration in LB_CONFIG."""
+"""Command line of the gateway: `python -m gateway`, with the path of its configuration in LB_CONFIG."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from .network.process.signals import run_until_signalled
 
 BAD_CONFIGURATION_STATUS = 2
-"""Exit status where the configuration is missing or not valid."""
+"""Exit status if the configuration is missing or invalid."""
 
 
 def configure_logging() -> None:
-    """Log to standard error, a line each event."""
+    """Log to standard error, with one line per record."""
     logging.basicConfig(
         level=logging.INFO, stream=sys.stderr, format="%(asctime)s %(levelname)s %(name)s: %(message)s"
     )
 
 
 def main() -> int:
-    """Run until a signal ends the gateway; gives the exit status."""
+    """Run the gateway until a signal stops it, and return the exit status."""
     configure_logging()
     path = os.environ.get("LB_CONFIG")
     if not path:
--- a/gateway/errors.py
+++ b/gateway/errors.py
@@ -1,5 +1,5 @@
-"""The base of all errors that the gateway raises on purpose."""
+"""The base class of the gateway's own exceptions."""
 
 
 class GatewayError(Exception):
-    """Base class of the errors that the gateway raises on purpose."""
+    """Base class of the exceptions that the gateway defines and raises itself."""
--- a/gateway/settings_document.py
+++ b/gateway/settings_document.py
@@ -1,6 +1,6 @@
-"""Reads the settings object that the platform gives to a gateway, and the simulator to an instance.
+"""The settings object, which a gateway gets from the platform and a simulated instance from the simulator.
 
-Both give the same JSON object. Its keys and values are translated here into the terms of the program.
+Both use the same JSON format. This module maps its keys and values to the names that the gateway uses.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 Choice = TypeVar("Choice")
 
-# Keys of the settings.
+# Top-level keys of the settings object.
 GATEWAY_INDEX = "selfIndex"
 GATEWAY_COUNT = "groupSize"
 ZONE = "az"
@@ -30,7 +30,7 @@
 CAPABILITIES = "caps"
 COUNTER = "familyInfo"
 
-# Keys of a request class and of a plan.
+# Key of both request classes and plans.
 NAME = "name"
 
 # Keys of a request class.
@@ -50,29 +50,29 @@
 HARD_LIMIT_RATE = "neverOverRate"
 HARD_LIMIT_BURST = "hardBurst"
 
-# Keys of the safety rules.
+# Keys of the `rules` object.
 DRAIN_GRACE_MS = "drainGrace"
 INITIAL_CAPACITY = "startCapacity"
 SLOW_START_MS = "warmWithin"
 OVERLOAD_MULTIPLE = "fallMultiple"
 
-# Keys of the capabilities.
+# Keys of the `caps` object.
 MAX_ATTEMPTS = "maxAttempts"
 HEDGING_ALLOWED = "mayDuplicate"
 CANCELLATION_SUPPORTED = "cancelling"
 RETRY_AFTER_SUPPORTED = "retryAfter"
 MAX_RETRY_AFTER_MS = "maxRetryAfter"
 
-# Keys of the counter's settings.
+# Keys of the `familyInfo` object, the settings of the counter.
 COUNTER_AVAILABLE = "mayCount"
 COUNTER_TIMEOUT_MS = "countWait"
 MAX_REQUEST_COST = "unitsTop"
 
 POLLED_SOURCE = "ask"
-"""The endpoint source that has to be polled."""
+"""Value of the endpoint source for an endpoint list that has to be polled."""
 
 SCOPE_ALL = "all"
-"""The deduplication scope of all backends, which is the default."""
+"""Deduplication scope that covers all backends; the default."""
 
 IDEMPOTENCY_BY_VALUE = {
     "pure": Idempotency.IDEMPOTENT,
@@ -87,17 +87,20 @@
 
 
 class SettingsError(GatewayError, ValueError):
-    """A value of the settings is not one of those that are defined.
+    """Raised if a value in the settings is not one of the defined choices.
 
-    Also a ValueError, as which both hosts handle a value that cannot be converted.
+    It is also a ValueError, which the gateway process and the simulator adapter catch for every value that
+    cannot be converted.
     """
 
 
 def parse_settings(document: dict[str, Any]) -> Settings:
-    """The typed settings of a decoded document.
+    """Parse a decoded settings object.
 
-    Raises SettingsError for a value that is not one of those defined, and KeyError, TypeError, ValueError or
-    AttributeError where a required key is missing or a value has the wrong type.
+    Raises:
+        SettingsError: a value is not one of the defined choices.
+        KeyError, TypeError, ValueError, AttributeError: a required key is missing, or a value has the wrong
+            type.
     """
     capabilities = document.get(CAPABILITIES) or {}
     counter = document.get(COUNTER) or {}
@@ -121,7 +124,7 @@
 
 
 def parse_request_class(entry: dict[str, Any]) -> RequestClass:
-    """The request class of one entry of the document."""
+    """Parse one entry of the request classes."""
     return RequestClass(
         name=str(entry[NAME]),
         latency_objective_ms=float(entry.get(LATENCY_OBJECTIVE_MS) or entry[DEADLINE_MS]),
@@ -136,7 +139,7 @@
 
 
 def parse_plan(entry: dict[str, Any]) -> Plan:
-    """The plan of one entry of the document."""
+    """Parse one entry of the plans."""
     return Plan(
         name=str(entry[NAME]),
         rate=float(entry.get(RATE) or 0),
@@ -150,7 +153,7 @@
 
 
 def parse_safety_rules(entry: dict[str, Any]) -> SafetyRules:
-    """The safety rules of the document."""
+    """Parse the safety rules."""
     return SafetyRules(
         drain_grace_ms=float(entry.get(DRAIN_GRACE_MS) or 0),
         initial_capacity=float(entry.get(INITIAL_CAPACITY) or 0),
--- a/gateway/simulator/__main__.py
+++ b/gateway/simulator/__main__.py
@@ -1,6 +1,6 @@
-"""Runs the adapter: `python -m gateway.simulator`.
+"""Command line of the adapter: `python -m gateway.simulator`.
 
-Reads a batch of events a line on standard input and answers each with a line on standard output.
+It reads one batch of events per line from standard input and answers each with one line on standard output.
 """
 
 import sys
@@ -10,11 +10,11 @@
 from .host import InstanceHost
 
 BAD_INPUT_STATUS = 2
-"""Exit status after a line that is not of the protocol's form."""
+"""Exit status after a line that does not follow the protocol."""
 
 
 def main(lines: TextIO = sys.stdin, replies: TextIO = sys.stdout) -> int:
-    """Answer batches until the input ends, or until one is malformed; returns the exit status."""
+    """Answer batches until the input ends or one is malformed, and return the exit status."""
     host = InstanceHost()
     for line in lines:
         if not line.strip():
--- a/gateway/simulator/decoding.py
+++ b/gateway/simulator/decoding.py
@@ -1,7 +1,7 @@
-"""Decodes the simulator's events into those of the policy.
+"""Conversion of the simulator's events to the policy's events.
 
-An event is a JSON array of its name and its values. The names are those of `wire_names`; the settings of an
-instance are translated by `gateway.settings_document`.
+An event is a JSON array of its name and its values; the names are in `wire_names`. The event that creates an
+instance is handled by `host`, and its settings by `gateway.settings_document`.
 """
 
 from __future__ import annotations
@@ -51,16 +51,17 @@
     wire_names.NOT_STARTED: Outcome.NOT_STARTED,
 }
 RETRY_FLAG = 2
-"""The bit of a request's flags that is set when its client has sent it before."""
+"""Bit in a request's flags that is set if the client has sent the request before."""
 FLAGS_INDEX = 8
-"""Index of a request's flags among its values; they may be left out."""
+"""Index of the flags in the values of a request event, which may leave them out."""
 
 
 def decode_event(name: str, values: list[Any]) -> Event | None:
-    """The event of that name, or None if the policy has no use for it.
+    """Return the policy's event for a simulator event, or None if the policy has no use for it.
 
-    Raises WireFormatError for an unknown name, and KeyError, IndexError, TypeError or ValueError where a
-    value is missing or not of its type.
+    Raises:
+        WireFormatError: the name is unknown, or a value is not a string where one is expected.
+        KeyError, IndexError, TypeError, ValueError: a value is missing or invalid.
     """
     decode = EVENT_DECODERS.get(name)
     if decode is None:
@@ -131,7 +132,7 @@
     try:
         return TimerFired(TimerToken.decode(token))
     except ValueError:
-        return None  # not a timer of the policy
+        return None  # the token is not one that the policy creates
 
 
 def _decode_peer_message(values: list[Any]) -> Event:
--- a/gateway/simulator/encoding.py
+++ b/gateway/simulator/encoding.py
@@ -1,4 +1,4 @@
-"""Encodes the policy's actions for the simulator: each as an array of its name and its values."""
+"""Conversion of the policy's actions to the simulator's: JSON arrays of a name and its values."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
 
 
 def encode_actions(actions: Iterable[Action]) -> list[WireAction]:
-    """The actions in the simulator's form, in their order."""
+    """Return the actions in the simulator's format, in the same order."""
     return [ACTION_ENCODERS[type(action)](action) for action in actions]
 
 
 def _encode_attempt(action: StartAttempt) -> WireAction:
-    # `start_before` is left out: the simulator starts an attempt at once, so it never passes.
+    # `start_before` is left out: the simulator starts an attempt immediately, so that time never passes.
     return [START_ATTEMPT, action.request_id, action.timeout_ms, action.backend_id]
 
 
--- a/gateway/simulator/errors.py
+++ b/gateway/simulator/errors.py
@@ -1,7 +1,7 @@
-"""The error of the simulator's adapter."""
+"""The exception of the simulator adapter."""
 
 from gateway.errors import GatewayError
 
 
 class WireFormatError(GatewayError):
-    """The simulator sent what its protocol does not allow; the adapter cannot go on."""
+    """Raised if a line from the simulator violates the protocol; the adapter then exits."""
--- a/gateway/simulator/host.py
+++ b/gateway/simulator/host.py
@@ -1,4 +1,4 @@
-"""Hosts the policies of the gateway instances that the simulator creates."""
+"""The policies of the gateway instances that the simulator creates and removes."""
 
 from __future__ import annotations
 
@@ -23,40 +23,41 @@
 
 
 class EventGroup(TypedDict):
-    """The events of one instance in a batch; an event is its name and its values."""
+    """The events of one instance in a batch; each event is a list of its name and its values."""
 
     gatewayId: int
     arrivals: list[list[Any]]
 
 
 class Batch(TypedDict):
-    """The events of one moment, in milliseconds of simulated time."""
+    """The events at one simulated time, `moment`, which is in milliseconds."""
 
     moment: float
     groups: list[EventGroup]
 
 
 class ActionGroup(TypedDict):
-    """The actions of one instance in a reply."""
+    """The actions of one instance in the reply to a batch."""
 
     gatewayId: int
     out: list[WireAction]
 
 
-# Built once: `json.dumps` builds an encoder in each call whose separators are not its default ones.
+# Created once: with non-default separators, `json.dumps` would create an encoder on each call.
 _encode_json = json.JSONEncoder(separators=(",", ":")).encode
 
 
 class InstanceHost:
-    """Holds the policy of each instance that was created and has not exited."""
+    """Keeps the policy of each instance from its creation to its exit, and passes events to it."""
 
     def __init__(self) -> None:
         self._policies: dict[int, GatewayPolicy] = {}
 
     def handle_batch(self, line: str) -> str:
-        """The reply to one batch: the actions of each instance that has any.
+        """Return the reply to one batch: the actions of each instance that takes any.
 
-        Raises WireFormatError if the batch is not of the protocol's form.
+        Raises:
+            WireFormatError: the batch does not follow the protocol.
         """
         groups: list[ActionGroup] = []
         try:
@@ -85,7 +86,7 @@
             if name == REMOVE_INSTANCE:
                 del self._policies[instance_id]
                 policy = None
-                actions.clear()  # there is no instance left to carry them out
+                actions.clear()  # the instance no longer exists to carry them out
                 continue
             event = decode_event(name, values)
             if event is not None:
--- a/gateway/simulator/wire_names.py
+++ b/gateway/simulator/wire_names.py
@@ -1,16 +1,16 @@
-"""The names of the simulator's protocol, each under the term that the program uses for it."""
+"""The names in the simulator's protocol, as constants named in the gateway's own terms."""
 
 from typing import Final
 
-# Keys of a batch of events and of the reply to it.
+# Keys of a batch and of the reply to it.
 TIME_MS: Final = "moment"
-"""The simulated time, in milliseconds."""
+"""The key of the simulated time, in milliseconds."""
 GROUPS: Final = "groups"
 INSTANCE_ID: Final = "gatewayId"
 EVENTS: Final = "arrivals"
 ACTIONS: Final = "out"
 
-# Events that concern an instance itself.
+# Events that create or remove an instance.
 CREATE_INSTANCE: Final = "create"
 REMOVE_INSTANCE: Final = "exit"
 
