--- a/tests/network/process/test_configuration.py
+++ b/tests/network/process/test_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration file, with the platform's keys."""
+"""Parsing of the configuration file and of addresses."""
 
 from __future__ import annotations
 
--- a/tests/network/process/test_deployment_settings.py
+++ b/tests/network/process/test_deployment_settings.py
@@ -1,4 +1,4 @@
-"""The whole gateway with the settings of other deployments: names, idempotency, plans, limits, deadlines."""
+"""A gateway with various deployments' settings: names, idempotency, plans, limits and deadlines."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     capabilities: dict[str, Any],
     **rules: float,
 ) -> dict[str, Any]:
-    """Settings in the platform's form; what is not given is as in all tests."""
+    """Return settings in the platform's format; keys not given here have their values from `SETTINGS`."""
     return {
         **SETTINGS,
         "classes": classes,
@@ -43,7 +43,7 @@
 
 
 QUOTA_UNITS = 3
-"""Units that the first plan of each deployment allows at once; the second has no quota."""
+"""Burst of the first plan of each deployment, in units; the second plan has no quota."""
 
 DEPLOYMENTS = {
     "long": deployment(
@@ -78,7 +78,11 @@
 }
 
 RETRIED_EFFECTS = {"pure", "token"}
-"""All backends of the tests are in one zone and cell, so each recognises the others' idempotency keys."""
+"""The effects whose requests are retried.
+
+Requests with an idempotency key are among them because all backends here are in one zone and cell: whatever
+the deduplication scope, each recognises the others' keys.
+"""
 
 CASES = [
     (deployment_name, class_index)
@@ -90,7 +94,7 @@
 def command_for(
     settings: dict[str, Any], class_index: int, request_id: str, plan_index: int = 1
 ) -> tuple[bytes, ...]:
-    """A request of this class and plan, as a client sends it."""
+    """Return the command that a client sends for a request of this class and plan."""
     given_class = settings["classes"][class_index]
     given_plan = settings["packages"][plan_index]
     return request_command(
@@ -105,7 +109,7 @@
 
 
 async def reply_to(harness: GatewayHarness, *command: bytes) -> Any:
-    """The reply that a new client has to this command."""
+    """Send a command from a new client and return the reply."""
     peer = await harness.client()
     peer.send(*command)
     return await peer.receive()
@@ -142,7 +146,10 @@
 
 @pytest.mark.parametrize(("deployment_name", "class_index"), [case for case in CASES if case[0] != "long"])
 def test_backend_that_hangs_costs_no_client_its_reply(deployment_name: str, class_index: int) -> None:
-    """One final reply before the deadline; a non-idempotent request that may have run is not rejected."""
+    """The client gets one final reply before the deadline.
+
+    A non-idempotent request that may have run gets a failure, not a rejection.
+    """
     settings = DEPLOYMENTS[deployment_name]
     given_class = settings["classes"][class_index]
 
--- a/tests/network/process/test_descriptor_budget.py
+++ b/tests/network/process/test_descriptor_budget.py
@@ -1,4 +1,4 @@
-"""The descriptor budget, and a process whose descriptors idle clients exhaust."""
+"""The file descriptor budget, and a gateway process whose client share is exhausted by idle clients."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 class UnavailableDiscovery(FakeDiscovery):
-    """Discovery that is down at first: connections are refused, or calls get no response."""
+    """Discovery that refuses connections, or accepts them without responding, until `recover` is called."""
 
     def __init__(self, *, accepts_connections: bool) -> None:
         super().__init__()
@@ -76,7 +76,7 @@
 
 
 class IdleClients:
-    """Clients that hold idle connections; one whose connection is closed reconnects at once."""
+    """Clients that hold idle connections and reconnect as soon as one is closed."""
 
     def __init__(self, port: int, count: int) -> None:
         self.port = port
@@ -112,7 +112,7 @@
 async def launched_with_descriptor_limit(
     harness: GatewayHarness, folder: Path, limit: int
 ) -> AsyncIterator[int]:
-    """The program with `limit` descriptors by its configuration and its system; gives its port."""
+    """Run a gateway process, with `limit` as its configured and its soft descriptor limit; yield its port."""
     command = ("/bin/sh", "-c", f'ulimit -n {limit} && exec "{sys.executable}" -m gateway')
     with (folder / "log").open("wb") as log:
         async with launched(harness, folder, command=command, stderr=log) as gateway:
@@ -120,7 +120,7 @@
 
 
 async def request_until_served(port: int, *commands: tuple[bytes, ...]) -> None:
-    """Send requests until each is served, reconnecting where the connection is closed without a reply."""
+    """Send each request until it is served, and reconnect whenever the connection closes without a reply."""
     peer = await connect(port)
     for command in commands:
         while True:
@@ -134,12 +134,12 @@
 
 
 def counted_request(id: bytes, customer: int) -> tuple[bytes, ...]:
-    """A request whose plan has a quota, so that it is reported to the counter."""
+    """Return a request whose plan has a quota, so the gateway reports it to the counter."""
     return request_command(id, plan=b"basic", customer=b"%016x" % customer, remaining_ms=60_000)
 
 
 async def open_hanging_requests(peers: list[RespPeer], backend: FakeBackend) -> None:
-    """Open a request on each connection; each takes one connection to the backend."""
+    """Send a request that hangs on each client connection; each occupies one backend connection."""
     for number, peer in enumerate(peers):
         peer.send(*counted_request(b"hangs%d" % number, number))
         await wait_until(lambda number=number: len(backend.received) > number)  # type: ignore[misc]
@@ -158,7 +158,10 @@
 def test_idle_clients_leave_descriptors_for_the_watch_the_counter_and_backends(
     accepts_connections: bool, limit: int, tmp_path: Path
 ) -> None:
-    """Clients and backends have exhausted their shares when discovery recovers and the counter reconnects."""
+    """Discovery recovers and the counter reconnects while clients and backends have exhausted their shares.
+
+    Without reserved descriptors, both connections would fail.
+    """
 
     async def scenario() -> None:
         budget = budget_descriptors(limit)
@@ -173,7 +176,7 @@
             await open_hanging_requests(hung_peers, old_backend)
             counter_connections = harness.counter.accepted
             async with idle_clients(port, 2 * budget.client_connections) as clients:
-                # More connections were closed than there are clients: the clients' share is exhausted.
+                # More connections were closed than there are clients, so the clients' share is exhausted.
                 await wait_until(lambda: clients.closed_connections > 2 * budget.client_connections)
                 await request_until_served(port, counted_request(b"cached", 1_000))
 
--- a/tests/network/process/test_gateway_process.py
+++ b/tests/network/process/test_gateway_process.py
@@ -1,4 +1,4 @@
-"""The program as a process: signals and exit status."""
+"""The gateway as a process: signals, error output and exit status."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class ReleasableScript:
-    """A backend's script that replies to nothing until it is released."""
+    """A backend script that holds all replies back until `released` is set."""
 
     def __init__(self) -> None:
         self.released = asyncio.Event()
@@ -50,13 +50,13 @@
 
             gateway.process.send_signal(signal.SIGTERM)
 
-            late = await connect(gateway.port)  # new connections arrive for a while after SIGTERM
+            late = await connect(gateway.port)  # clients still open connections for a while after SIGTERM
             late.send(b"PING")
             assert await late.receive() == b"PONG"
             assert gateway.process.returncode is None
             script.released.set()
             assert await peer.receive() == b"value"
-            assert await idle.receive() is None  # closed between requests
+            assert await idle.receive() is None  # the idle connection is closed
             assert await peer.receive() is None
             assert await gateway.process.wait() == 0
 
@@ -93,7 +93,7 @@
             second.send(*request_command(b"second", request_class=b"wipe"))
             assert await second.receive() == b"value"
             assert len(new_backend.received) == 1
-            third = await connect(gateway.port)  # the listening address does not change
+            third = await connect(gateway.port)  # a reload does not change the listening address
             third.send(*request_command(b"third", plan=b"basic", customer=b"00000000b4d65522"))
             assert await third.receive() == b"value"
             await wait_until(lambda: new_harness.counter.received)
--- a/tests/network/process/test_gateway_server.py
+++ b/tests/network/process/test_gateway_server.py
@@ -1,4 +1,4 @@
-"""The life cycle of a whole gateway within the tests' own process."""
+"""The life cycle of a gateway that runs in the test process."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 
 async def never_reply(_command: list[bytes]) -> ScriptedReply:
-    """A backend's script: the request stays in flight."""
+    """Leave the request in flight, as the script of a fake backend."""
     return None
 
 
 def test_requests_open_at_the_end_of_shutdown_are_failed_rather_than_lost() -> None:
-    """SIGKILL would drop them; a request that may have run gets a failure, not a rejection."""
+    """SIGKILL would drop these requests. One that may have run gets a failure, not a rejection."""
     schedule = ShutdownSchedule(keep_serving_s=0.05, fail_requests_s=0.1)
 
     async def scenario() -> None:
@@ -72,7 +72,7 @@
 
 
 def test_open_connections_are_served_while_draining() -> None:
-    """The fleet lacks this gateway's capacity until it has restarted."""
+    """A draining gateway serves on because the fleet lacks its capacity until it has restarted."""
     schedule = ShutdownSchedule(keep_serving_s=0.3, fail_requests_s=0.6)
 
     async def scenario() -> None:
@@ -90,7 +90,7 @@
 
 
 def test_failed_watch_of_the_endpoint_list_ends_the_run(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A visible crash is better than serving by an outdated list."""
+    """A visible crash is better than serving with an outdated endpoint list."""
 
     async def fail(_watcher: EndpointWatcher) -> None:
         raise RuntimeError("a fault of the watch")
--- a/tests/network/process/test_process_endings.py
+++ b/tests/network/process/test_process_endings.py
@@ -1,4 +1,4 @@
-"""The graceful shutdown on real sockets: each step while a client still awaits a reply."""
+"""Graceful shutdown on real sockets, with clients that still wait for replies at each step."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def test_requests_on_connections_in_the_accept_queue_are_answered() -> None:
-    """The kernel has accepted these connections: closing the listener would reset complete requests."""
+    """The kernel has accepted these connections; closing the listener would reset complete requests."""
 
     async def scenario() -> None:
         async with running_listener() as (listener, handler, port):
@@ -31,7 +31,7 @@
             for id, client in zip(ids, clients, strict=True):
                 peer = await as_peer(client)
                 assert await peer.receive() == [id]
-                assert await peer.receive() is None  # and then it is closed
+                assert await peer.receive() is None  # the connection is closed
             await listener.all_closed.wait()
 
     run_in_loop(scenario)
@@ -57,7 +57,7 @@
 
 @pytest.mark.parametrize("first_command", [b"", encode_command(*request_command(b"first"))])
 def test_command_incomplete_at_sigterm_may_be_completed(first_command: bytes) -> None:
-    """The gateway must not close a connection on which a request may still be completed."""
+    """The gateway must not close a connection on which the rest of a request may still arrive."""
 
     async def scenario() -> None:
         async with running_listener() as (listener, handler, port):
@@ -89,7 +89,7 @@
             await wait_until(lambda: handler.pending)
             listener.begin_shutdown()
 
-            # The kernel has received it when the reply to the first one is sent.
+            # The kernel has received this request before the reply to the first one is sent.
             client.sendall(encode_command(*request_command(b"second")))
             handler.pending["first"].complete(encode_command(b"yes"))
             assert "second" in handler.pending
@@ -102,7 +102,7 @@
 
 
 def test_request_after_the_final_replies_is_rejected_and_not_forwarded() -> None:
-    """A backend's reply could not arrive in time; a request that never ran may be retried elsewhere."""
+    """A backend's reply could not arrive in time, and a request that never ran may be retried elsewhere."""
     schedule = ShutdownSchedule(keep_serving_s=0.01, fail_requests_s=0.05, close_timeout_s=10.0)
 
     async def never_reply(_command: list[bytes]) -> ScriptedReply:
--- a/tests/network/process/test_reload.py
+++ b/tests/network/process/test_reload.py
@@ -1,4 +1,4 @@
-"""Reloads of a running gateway's configuration."""
+"""Configuration reload of a running gateway."""
 
 from __future__ import annotations
 
--- a/tests/network/process/test_starts.py
+++ b/tests/network/process/test_starts.py
@@ -1,4 +1,4 @@
-"""Many gateways that start at once, and again after SIGKILL, for each state of discovery."""
+"""Simultaneous starts of many gateways, also after SIGKILL, for each state of discovery."""
 
 from __future__ import annotations
 
@@ -22,22 +22,25 @@
 
 PROCESS_COUNT = 20
 READY_SHARE = 0.9
-"""Fraction of restarted processes that have to be ready in time."""
+"""Fraction of the processes that must be ready within `READY_TIMEOUT_S`."""
 READY_TIMEOUT_S = 10.0
-"""Seconds in which these have to be ready."""
+"""Time within which `READY_SHARE` of the processes must be ready, in seconds."""
 LAST_READY_TIMEOUT_S = 30.0
-"""Seconds in which all have to be ready."""
+"""Time within which all processes must be ready, in seconds."""
 
 
 class Readiness(NamedTuple):
-    """How long a process took to give its first reply, and the client that had it (None: never)."""
+    """The time until a process gave its first reply, in seconds, and the client that got it.
+
+    The time is infinite and the client None if there was no reply.
+    """
 
     elapsed_s: float
     peer: RespPeer | None
 
 
 class UnresponsiveDiscovery(FakeDiscovery):
-    """Accepts calls and never responds."""
+    """Discovery that accepts connections and never responds."""
 
     async def handle_connection(self, reader: asyncio.StreamReader, _writer: asyncio.StreamWriter) -> None:
         await reader.read()
@@ -55,7 +58,7 @@
 
 @contextlib.contextmanager
 def closed_port() -> Iterator[int]:
-    """A port without a listener, reserved meanwhile."""
+    """Reserve a port that refuses connections; it is bound, but nothing listens there."""
     with socket.socket() as bound:
         bound.bind((LOCAL, 0))
         yield bound.getsockname()[1]
@@ -63,7 +66,7 @@
 
 @contextlib.contextmanager
 def unreachable_port() -> Iterator[int]:
-    """A port whose accept queue is full: connection attempts time out."""
+    """Yield a port whose accept queue is full, so that connection attempts time out."""
     with contextlib.ExitStack() as stack:
         listener = stack.enter_context(socket.socket())
         listener.bind((LOCAL, 0))
@@ -77,7 +80,7 @@
 
 @contextlib.asynccontextmanager
 async def discovery_port(state: str) -> AsyncIterator[int]:
-    """The port of a discovery in this state."""
+    """Yield the port of a discovery service in this state."""
     async with contextlib.AsyncExitStack() as stack:
         match state:
             case "up":
@@ -95,7 +98,7 @@
 
 
 async def wait_for_first_reply(port: int, started_at: float) -> Readiness:
-    """Wait until a client has had a reply; the client stays connected."""
+    """Connect until a client gets a reply, and leave that client connected."""
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(LAST_READY_TIMEOUT_S):
             while True:
@@ -109,7 +112,7 @@
 
 
 async def measure_readiness(configs: dict[int, Path]) -> list[float]:
-    """Start all at once and kill them once all are ready; return the times to readiness, sorted."""
+    """Start all processes at once, kill them when all are ready; return the sorted times to readiness."""
     processes: list[asyncio.subprocess.Process] = []
     try:
         wait_tasks = []
@@ -128,7 +131,7 @@
 
 
 def write_configs(folder: Path, ports: list[int], discovery: int) -> dict[int, Path]:
-    """A configuration for each process, by the port that it listens on."""
+    """Write a configuration for each process; return the files by the port that the process listens on."""
     configs = {port: folder / f"{port}.json" for port in ports}
     cached = {"seq": 41, "whole": True, "hosts": listed_hosts()}
     for port, path in configs.items():
@@ -139,13 +142,13 @@
 
 @pytest.fixture
 def ports() -> Iterator[list[int]]:
-    """Reserved ports for the processes to listen on."""
+    """Reserve a port for each process to listen on."""
     with contextlib.ExitStack() as stack:
         yield [port_of(stack.enter_context(reserve_port())) for _ in range(PROCESS_COUNT)]
 
 
 def last_log_lines(configs: dict[int, Path]) -> str:
-    """The last log line of each process that logged an error."""
+    """Return the last log line of each process that logged an error."""
     logs = [path.with_suffix(".log").read_text() for path in configs.values()]
     return "\n".join(log.splitlines()[-1] for log in logs if "Error" in log)
 
@@ -155,7 +158,7 @@
 def test_nine_in_ten_of_many_that_start_at_once_are_ready_in_time(
     state: str, ports: list[int], tmp_path: Path
 ) -> None:
-    """The second start follows SIGKILL, with clients connected."""
+    """The restart follows a SIGKILL while clients were connected."""
 
     async def scenario() -> None:
         async with discovery_port(state) as discovery:
--- a/tests/network/test_timers.py
+++ b/tests/network/test_timers.py
@@ -1,4 +1,4 @@
-"""The queue of timers, on a real event loop."""
+"""The timer queue on a real event loop."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @runs_in_loop
 async def test_timers_never_fire_early_and_keep_their_order() -> None:
-    """The policy ignores a timer that fires early, and the request that it was set for would never end."""
+    """The policy ignores a timer that fires early, so the request that the timer is for would never end."""
     timers = TimerQueue(asyncio.get_running_loop())
     delays_ms = [3.4, 0.6, 2.5, 0.0, 7.7, 1.49]
     fired: list[int] = []
@@ -48,7 +48,7 @@
 
 @runs_in_loop
 async def test_timer_made_by_a_callback_waits_for_the_event_loop_s_next_turn() -> None:
-    """Otherwise a timer that is due again at once would keep everything else from running."""
+    """Otherwise, a timer that sets itself again without delay would block the event loop."""
     loop = asyncio.get_running_loop()
     timers = TimerQueue(loop)
     order: list[str] = []
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -1,6 +1,6 @@
-"""The simulator's adapter: the lines that it reads, and the lines that it writes for them.
+"""The simulator adapter: input lines and the replies to them.
 
-Events, settings and actions stand here under their names in the simulator's protocol.
+Events, settings and actions have the names of the simulator's protocol here.
 """
 
 from __future__ import annotations
@@ -50,7 +50,7 @@
 
 
 class Result(NamedTuple):
-    """What the adapter did with its input."""
+    """The exit status of the adapter and its decoded replies."""
 
     status: int
     replies: list[dict[str, Any]]
--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -1,4 +1,4 @@
-"""The pages name only code, tests and files that exist."""
+"""Checks that the documentation refers only to names, tests and files that exist."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 
 @dataclass
 class SourceNames:
-    """The names and the text constants of the source files."""
+    """The names and the string and bytes constants in the source files."""
 
     names: set[str] = field(default_factory=set)
     members: defaultdict[str, set[str]] = field(default_factory=lambda: defaultdict(set))
-    """Names within a class, its base classes left out, by the name of the class."""
+    """The names that each class contains, including its direct bases but not their members."""
     texts: set[str] = field(default_factory=set)
 
     def add(self, tree: ast.AST) -> None:
@@ -41,14 +41,14 @@
                 self.texts.add(node.value if isinstance(node.value, str) else node.value.decode("latin-1"))
 
     def has_member(self, class_name: str, member: str) -> bool:
-        """Whether a class or one of its bases has a member."""
+        """Return whether a class or one of its direct bases has a member."""
         members = self.members[class_name]
         bases = [name for name in members if name in self.members and name != class_name]
         return member in members or any(member in self.members[base] for base in bases)
 
 
 def names_in(node: ast.AST) -> set[str]:
-    """The names that one node of a syntax tree defines or uses."""
+    """Return the names that one node of a syntax tree defines or uses."""
     match node:
         case ast.Name(id=name) | ast.Attribute(attr=name) | ast.arg(arg=name):
             return {name}
@@ -70,7 +70,10 @@
 
 
 def exists(quoted: str) -> bool:
-    """Whether a name is in the code or is a file; anything else, such as a command, counts as found."""
+    """Return whether a quoted text is a name in the code or a file.
+
+    A text that is neither a path nor an identifier, such as a command, counts as existing.
+    """
     if PATH.fullmatch(quoted):
         relative = quoted.strip("/")
         return any(ROOT.glob(relative)) or any(ROOT.rglob(relative)) or quoted in source_names().texts
