--- a/gateway/network/timers.py
+++ b/gateway/network/timers.py
@@ -67,7 +67,7 @@
         self._loop_timer = None
         self._loop_timer_due_ms = (
             -math.inf
-        )  # no timer that a callback adds sets the loop timer: it is set below
+        )  # timers added by callbacks leave the loop timer alone; it is set below
         try:
             self._call_due()
         finally:
