--- a/gateway/network/process/descriptor_budget.py
+++ b/gateway/network/process/descriptor_budget.py
@@ -1,46 +1,46 @@
-"""Division of a process's file descriptors between clients' connections and connections to backends."""
+"""Limits of client and backend connections, derived from the file descriptors of the process."""
 
 from __future__ import annotations
 
 import resource
 from typing import NamedTuple
 
-CLIENT_SHARE = 0.5
-"""Largest fraction of the descriptors for clients' connections."""
+MAX_CLIENT_SHARE = 0.5
+"""Maximum fraction of the file descriptors that client connections may take."""
 
-BACKEND_SHARE = 0.25
-"""Largest fraction of the descriptors for connections to backends."""
+MAX_BACKEND_SHARE = 0.25
+"""Maximum fraction of the file descriptors that backend connections may take."""
 
 RESERVED_DESCRIPTORS = 40
-"""Least number of descriptors that are neither clients' nor backends'.
+"""Minimum number of file descriptors that neither client nor backend connections may take.
 
-The process itself takes 14, watches that overlap 7 and the counter 8 (at two addresses, while it moves); the
-rest is for configuration files and inherited descriptors.
+The process itself uses 14 of them, overlapping watches use 7, and the counter client uses 8 while it moves
+between two addresses. The rest is for configuration files and inherited descriptors.
 """
 
 
 class DescriptorBudget(NamedTuple):
-    """How many connections of each kind may be open at once."""
+    """The maximum number of open connections of each kind."""
 
     client_connections: int
     backend_connections: int
 
 
 def budget_descriptors(configured: int) -> DescriptorBudget:
-    """The budget of a process with `configured` descriptors, or fewer by the limit of its system.
+    """Return the budget for `configured` file descriptors, or for the process's soft limit if that is lower.
 
-    Idle clients may take all descriptors of their share. The reserve keeps some for the endpoint watch, which
-    would otherwise miss drains, and for the counter.
+    Idle clients can use up the clients' whole share. The reserved descriptors ensure that the endpoint watch
+    and the counter client can still connect; without the watch, the gateway would miss draining backends.
     """
-    available = _within_system_limit(configured)
+    available = _cap_at_soft_limit(configured)
     unreserved = max(0, available - RESERVED_DESCRIPTORS)
     return DescriptorBudget(
-        client_connections=max(1, min(int(available * CLIENT_SHARE), unreserved * 2 // 3)),
-        backend_connections=max(1, min(int(available * BACKEND_SHARE), unreserved // 3)),
+        client_connections=max(1, min(int(available * MAX_CLIENT_SHARE), unreserved * 2 // 3)),
+        backend_connections=max(1, min(int(available * MAX_BACKEND_SHARE), unreserved // 3)),
     )
 
 
-def _within_system_limit(configured: int) -> int:
+def _cap_at_soft_limit(configured: int) -> int:
     soft_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft_limit == resource.RLIM_INFINITY:
         return configured
--- a/gateway/network/process/server.py
+++ b/gateway/network/process/server.py
@@ -1,6 +1,6 @@
-"""The life cycle of one gateway: start, reload and graceful shutdown.
+"""The life cycle of one gateway: startup, reload and graceful shutdown.
 
-`GatewayServer` owns the parts of a gateway and the task that watches the endpoint list.
+`GatewayServer` owns the gateway's components and the task that watches the endpoint list.
 """
 
 from __future__ import annotations
@@ -26,77 +26,77 @@
 log = logging.getLogger("gateway")
 
 FIRST_SNAPSHOT_TIMEOUT_S = 1.0
-"""Longest wait of a start for the endpoint list of discovery's agent, in seconds.
+"""Maximum time that startup waits for the endpoint list of discovery's agent, in seconds.
 
-An agent responds at once or, while discovery is down, not at all.
+The agent responds immediately, or not at all while discovery is down.
 """
 
 
 class GatewayServer:
-    """One gateway: its parts, from the start to the end of a graceful shutdown.
+    """One gateway, from startup to the end of a graceful shutdown.
 
-    Made within a running event loop, and run once.
+    Instantiate it within a running event loop, and run it once.
     """
 
     def __init__(
         self,
         config: GatewayConfig,
         *,
-        load: Callable[[], GatewayConfig] | None = None,
+        load_config: Callable[[], GatewayConfig] | None = None,
         reload_signal: ReloadSignal | None = None,
         shutdown_schedule: ShutdownSchedule | None = None,
     ) -> None:
-        """Build the parts; nothing is connected yet.
+        """Create the components without opening connections.
 
         Args:
-            config: what the gateway starts with.
-            load: gives the configuration that a reload takes its addresses from.
-            reload_signal: asks for reloads; without it, or without `load`, there are none.
-            shutdown_schedule: in place of the one that suits the settings.
+            config: the configuration at startup.
+            load_config: reads the configuration again for a reload, which applies its addresses.
+            reload_signal: triggers reloads; they are disabled without it or without `load_config`.
+            shutdown_schedule: replaces the schedule that is derived from the settings.
         """
         self._config = config
-        self._load = load
+        self._load_config = load_config
         self._reload_signal = reload_signal
-        self._schedule = shutdown_schedule or ShutdownSchedule.for_settings(config.settings)
+        self._shutdown_schedule = shutdown_schedule or ShutdownSchedule.for_settings(config.settings)
         self._loop = asyncio.get_running_loop()
-        self._parts = PartFactory(config, TimerQueue(self._loop))
-        self._backends = self._parts.create_backend_pool()
-        self._counter = self._parts.create_counter_client()
-        self._dispatcher = self._parts.create_dispatcher(self._backends, self._counter)
+        self._part_factory = PartFactory(config, TimerQueue(self._loop))
+        self._backends = self._part_factory.create_backend_pool()
+        self._counter = self._part_factory.create_counter_client()
+        self._dispatcher = self._part_factory.create_dispatcher(self._backends, self._counter)
 
     async def run(self, stop: asyncio.Event, on_ready: Callable[[int], None] | None = None) -> None:
         """Serve until `stop` is set, then shut down gracefully.
 
-        `on_ready` is given the port once clients may connect. A watch of the endpoint list that fails ends
-        the run with its exception.
+        `on_ready` is called with the listening port as soon as clients may connect. If the watch of the
+        endpoint list fails, its exception is raised.
         """
         version = self._apply_cached_endpoints()
-        watcher = self._parts.create_watcher(version, self._dispatcher.on_endpoints)
-        watch = self._loop.create_task(watcher.run())
-        stopped = self._loop.create_task(stop.wait())
+        watcher = self._part_factory.create_watcher(version, self._dispatcher.on_endpoints)
+        watch_task = self._loop.create_task(watcher.run())
+        stop_task = self._loop.create_task(stop.wait())
         try:
             if not self._config.settings.polls_endpoints:
-                await self._await_first_snapshot(watcher, watch, stopped)
+                await self._await_first_snapshot(watcher, watch_task, stop_task)
             listener = self._start_listening(watcher, on_ready)
-            await asyncio.wait({stopped, watch}, return_when=asyncio.FIRST_COMPLETED)
-            if watch.done():
-                watch.result()  # ended by a fault: crash visibly rather than serve by an outdated list
+            await asyncio.wait({stop_task, watch_task}, return_when=asyncio.FIRST_COMPLETED)
+            if watch_task.done():
+                watch_task.result()  # raises: better to crash visibly than to serve with an outdated list
             await self._shut_down(listener)
         finally:
-            watch.cancel()
-            stopped.cancel()
-            await asyncio.wait({watch, stopped})
+            watch_task.cancel()
+            stop_task.cancel()
+            await asyncio.wait({watch_task, stop_task})
         self._close_connections()
 
-    # ---- start ----
+    # ---- startup ----
 
     def _apply_cached_endpoints(self) -> int | None:
-        """Put the cached list in force, if there is one.
+        """Apply the cached endpoint list, if there is one.
 
         Returns:
             The version to watch from, or None to read a snapshot first. A list that an agent pushes is
-            always read as a snapshot: the cached one may be old, and what the agent holds counts as
-            notified from the start of the process.
+            always read as a snapshot: the cached list may be outdated, and the gateway counts as notified
+            of everything in the agent's list from the start of the process.
         """
         if not self._config.cached_endpoints:
             return None
@@ -104,7 +104,7 @@
             cached = parse_endpoint_list(self._config.cached_endpoints)
         except EndpointListError as error:
             log.error(
-                "gateway %s: cached endpoint list cannot be parsed, starting without it: %s",
+                "gateway %s: invalid cached endpoint list, starting without it: %s",
                 self._config.name,
                 error,
             )
@@ -113,30 +113,30 @@
         return cached.version if self._config.settings.polls_endpoints else None
 
     async def _await_first_snapshot(
-        self, watcher: EndpointWatcher, watch: asyncio.Task[None], stopped: asyncio.Task[bool]
+        self, watcher: EndpointWatcher, watch_task: asyncio.Task[None], stop_task: asyncio.Task[bool]
     ) -> None:
-        """Wait for the first snapshot, but no longer than an agent that responds takes."""
-        received = self._loop.create_task(watcher.snapshot_received.wait())
+        """Wait for the first snapshot, but no longer than a responsive agent would take."""
+        snapshot_task = self._loop.create_task(watcher.snapshot_received.wait())
         try:
             await asyncio.wait(
-                {received, watch, stopped},
+                {snapshot_task, watch_task, stop_task},
                 timeout=FIRST_SNAPSHOT_TIMEOUT_S,
                 return_when=asyncio.FIRST_COMPLETED,
             )
         finally:
-            received.cancel()
+            snapshot_task.cancel()
 
     def _start_listening(
         self, watcher: EndpointWatcher, on_ready: Callable[[int], None] | None
     ) -> ClientListener:
-        """Let clients connect, and connect the reload signal."""
-        listener = self._parts.create_listener(self._dispatcher)
-        if self._reload_signal is not None and self._load is not None:
-            self._reload_signal.connect(partial(reload_addresses, self._load, watcher, self._counter))
+        """Start accepting clients, and handle reload signals from now on."""
+        listener = self._part_factory.create_listener(self._dispatcher)
+        if self._reload_signal is not None and self._load_config is not None:
+            self._reload_signal.connect(partial(reload_addresses, self._load_config, watcher, self._counter))
         address = self._config.listen_address
         port = listener.listen(*address)
         gc.collect()
-        gc.freeze()  # objects of the start live as long as the process; later collections skip them
+        gc.freeze()  # objects created at startup live as long as the process; later collections skip them
         log.info("%s serves at %s:%d", self._config.name, address.host, port)
         if on_ready is not None:
             on_ready(port)
@@ -145,21 +145,21 @@
     # ---- shutdown ----
 
     async def _shut_down(self, listener: ClientListener) -> None:
-        """Keep serving for a while, then close clients' connections as their requests end."""
-        began_at = self._loop.time()
+        """Keep serving for a while, then close each client connection once its requests have ended."""
+        began_at_s = self._loop.time()
         log.info(
             "gateway %s draining: %d requests open; serving for %.2f s more, "
             "requests still open after %.2f s will fail",
             self._config.name,
             self._dispatcher.open_request_count,
-            self._schedule.keep_serving_s,
-            self._schedule.fail_requests_s,
+            self._shutdown_schedule.keep_serving_s,
+            self._shutdown_schedule.fail_requests_s,
         )
         failed_requests = 0
-        await asyncio.sleep(self._schedule.keep_serving_s)
+        await asyncio.sleep(self._shutdown_schedule.keep_serving_s)
         listener.begin_shutdown()
         try:
-            async with asyncio.timeout_at(began_at + self._schedule.fail_requests_s):
+            async with asyncio.timeout_at(began_at_s + self._shutdown_schedule.fail_requests_s):
                 await listener.all_closed.wait()
         except TimeoutError:
             failed_requests = await self._fail_open_requests(listener)
@@ -167,12 +167,12 @@
         log.info(
             "gateway %s drained after %.2f s: %d requests failed at the end of the shutdown",
             self._config.name,
-            self._loop.time() - began_at,
+            self._loop.time() - began_at_s,
             failed_requests,
         )
 
     async def _fail_open_requests(self, listener: ClientListener) -> int:
-        """Reply to each open request with a failure, before SIGKILL would drop it; return their number."""
+        """Fail each open request with a reply, since SIGKILL would drop it silently; return their number."""
         failed_requests = self._dispatcher.open_request_count
         log.warning(
             "gateway %s: %d requests still open at the end of the shutdown; each gets a failure reply",
@@ -181,7 +181,7 @@
         )
         self._dispatcher.fail_open_requests()
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(self._schedule.close_timeout_s):
+            async with asyncio.timeout(self._shutdown_schedule.close_timeout_s):
                 await listener.all_closed.wait()
         return failed_requests
 
--- a/gateway/network/timers.py
+++ b/gateway/network/timers.py
@@ -1,8 +1,8 @@
 """The clock of a gateway and the queue of its timers.
 
-Times are Unix milliseconds, as the start times of backends and the counter's periods have to mean the same
-moment at all gateways. The wall clock is read once, at the start of the process, and advanced by the
-monotonic clock: stepping the wall clock neither stops timers nor expires leases.
+Times are Unix milliseconds, because all gateways must agree on the start times of backends and on the
+counter's periods. The wall clock is read once, at the start of the process, and advanced by the monotonic
+clock: a step of the wall clock neither stops timers nor expires leases.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 import time
 from collections.abc import Callable
 
-_OFFSET_MS = time.time() * 1000 - time.monotonic() * 1000
-"""Milliseconds from the monotonic clock to Unix time, as read at the start of the process."""
+_UNIX_OFFSET_MS = time.time() * 1000 - time.monotonic() * 1000
+"""Unix time minus monotonic time at the start of the process, in milliseconds."""
 
 
 def now_ms() -> float:
     """Return the time in Unix milliseconds; it never decreases."""
-    return time.monotonic() * 1000 + _OFFSET_MS
+    return time.monotonic() * 1000 + _UNIX_OFFSET_MS
 
 
 class Timer:
-    """A call that is due at some time, made by `TimerQueue.call_at`."""
+    """A scheduled callback, created by `TimerQueue.call_at`."""
 
     __slots__ = ("callback",)
 
@@ -32,55 +32,59 @@
         self.callback: Callable[[], None] | None = callback
 
     def cancel(self) -> None:
-        """Prevent the call, unless it has been made."""
+        """Cancel the callback; does nothing once it has been called."""
         self.callback = None
 
 
 class TimerQueue:
-    """Calls back at times of `now_ms`, never before them; all timers share one timer of the event loop."""
+    """Runs callbacks at times of `now_ms`, never early; all timers share one timer of the event loop."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
-        # Due time, serial number and timer. Plain tuples, as there are several for each request and the heap
-        # compares them in C; the serial number keeps timers of one moment in the order they were made.
+        # Entries are (due time, serial number, timer). They are plain tuples because each request sets
+        # several timers and heapq compares tuples in C. The serial number orders timers with the same due
+        # time by creation.
         self._heap: list[tuple[float, int, Timer]] = []
-        self._serial = itertools.count()
-        self._handle: asyncio.TimerHandle | None = None
-        self._handle_due_ms = math.inf
+        self._serial_numbers = itertools.count()
+        self._loop_timer: asyncio.TimerHandle | None = None
+        self._loop_timer_due_ms = math.inf
 
     def call_at(self, due_ms: float, callback: Callable[[], None]) -> Timer:
-        """Call `callback` once, as soon as `now_ms` has reached `due_ms`."""
+        """Schedule `callback` to be called once, as soon as `now_ms` has reached `due_ms`."""
         timer = Timer(callback)
-        heapq.heappush(self._heap, (due_ms, next(self._serial), timer))
-        if due_ms < self._handle_due_ms:
-            self._arm(due_ms)
+        heapq.heappush(self._heap, (due_ms, next(self._serial_numbers), timer))
+        if due_ms < self._loop_timer_due_ms:
+            self._set_loop_timer(due_ms)
         return timer
 
-    def _arm(self, due_ms: float) -> None:
-        if self._handle is not None:
-            self._handle.cancel()
-        self._handle_due_ms = due_ms
-        self._handle = self._loop.call_later(max(0.0, due_ms - now_ms()) / 1000, self._run)
+    def _set_loop_timer(self, due_ms: float) -> None:
+        if self._loop_timer is not None:
+            self._loop_timer.cancel()
+        self._loop_timer_due_ms = due_ms
+        self._loop_timer = self._loop.call_later(max(0.0, due_ms - now_ms()) / 1000, self._run)
 
     def _run(self) -> None:
-        self._handle = None
-        self._handle_due_ms = -math.inf  # callbacks that add timers do not arm it: that is done below
+        self._loop_timer = None
+        self._loop_timer_due_ms = (
+            -math.inf
+        )  # timers added by callbacks leave the loop timer alone; it is set below
         try:
             self._call_due()
         finally:
-            self._handle_due_ms = math.inf
+            self._loop_timer_due_ms = math.inf
             if self._heap:
-                self._arm(self._heap[0][0])
+                self._set_loop_timer(self._heap[0][0])
 
     def _call_due(self) -> None:
-        """Call back all timers that are due, and drop cancelled ones at the head of the queue.
+        """Run the callbacks of all timers that are due, and drop cancelled timers at the head of the queue.
 
         No timer may fire before its due time: the policy would ignore it, and its request would never end.
-        The event loop rounds to whole milliseconds and may call early, so that each due time is checked.
+        The event loop rounds to whole milliseconds and may call early, so each due time is checked here.
         """
         heap = self._heap
         now = now_ms()
-        first_new_serial = next(self._serial)  # timers added by callbacks wait for the event loop's next turn
+        # Timers that callbacks add wait for the next iteration of the event loop.
+        first_new_serial = next(self._serial_numbers)
         while heap:
             due_ms, serial, timer = heap[0]
             if timer.callback is not None and (due_ms > now or serial >= first_new_serial):
--- a/gateway/simulator/host.py
+++ b/gateway/simulator/host.py
@@ -1,4 +1,4 @@
-"""Hosts the policies of the gateway instances that the simulator creates."""
+"""The policies of the gateway instances that the simulator creates and removes."""
 
 from __future__ import annotations
 
@@ -17,60 +17,61 @@
     EVENTS,
     GROUPS,
     INSTANCE_ID,
-    MOMENT,
     REMOVE_INSTANCE,
+    TIME_MS,
 )
 
 
 class EventGroup(TypedDict):
-    """The events of one instance in a batch; an event is its name and its values."""
+    """The events of one instance in a batch; each event is a list of its name and its values."""
 
     gatewayId: int
     arrivals: list[list[Any]]
 
 
 class Batch(TypedDict):
-    """The events of one moment, in milliseconds of simulated time."""
+    """The events at one simulated time, `moment`, which is in milliseconds."""
 
     moment: float
     groups: list[EventGroup]
 
 
 class ActionGroup(TypedDict):
-    """The actions of one instance in a reply."""
+    """The actions of one instance in the reply to a batch."""
 
     gatewayId: int
     out: list[WireAction]
 
 
-# Built once: `json.dumps` builds an encoder in each call whose separators are not its default ones.
+# Created once: with non-default separators, `json.dumps` would create an encoder on each call.
 _encode_json = json.JSONEncoder(separators=(",", ":")).encode
 
 
 class InstanceHost:
-    """Holds the policy of each instance that was created and has not exited."""
+    """Keeps the policy of each instance from its creation to its exit, and passes events to it."""
 
     def __init__(self) -> None:
         self._policies: dict[int, GatewayPolicy] = {}
 
     def handle_batch(self, line: str) -> str:
-        """The reply to one batch: the actions of each instance that has any.
+        """Return the reply to one batch: the actions of each instance that takes any.
 
-        Raises WireFormatError if the batch is not of the protocol's form.
+        Raises:
+            WireFormatError: the batch does not follow the protocol.
         """
         groups: list[ActionGroup] = []
         try:
             batch: Batch = json.loads(line)
-            now = float(batch[MOMENT])
+            now_ms = float(batch[TIME_MS])
             for group in batch[GROUPS]:
-                actions = self._handle_group(now, group)
+                actions = self._handle_group(now_ms, group)
                 if actions:
                     groups.append({INSTANCE_ID: group[INSTANCE_ID], ACTIONS: actions})
         except (ValueError, KeyError, TypeError, AttributeError, IndexError) as error:
             raise WireFormatError(f"handling a batch: {type(error).__name__}: {error}") from error
         return _encode_json({GROUPS: groups})
 
-    def _handle_group(self, now: float, group: EventGroup) -> list[WireAction]:
+    def _handle_group(self, now_ms: float, group: EventGroup) -> list[WireAction]:
         instance_id = int(group[INSTANCE_ID])
         policy = self._policies.get(instance_id)
         actions: list[WireAction] = []
@@ -85,9 +86,9 @@
             if name == REMOVE_INSTANCE:
                 del self._policies[instance_id]
                 policy = None
-                actions.clear()  # there is no instance left to carry them out
+                actions.clear()  # the instance no longer exists to carry them out
                 continue
             event = decode_event(name, values)
             if event is not None:
-                actions += encode_actions(policy.handle(now, event))
+                actions += encode_actions(policy.handle(now_ms, event))
         return actions
--- a/tests/network/process/test_deployment_settings.py
+++ b/tests/network/process/test_deployment_settings.py
@@ -1,4 +1,4 @@
-"""The whole gateway with the settings of other deployments: names, idempotency, plans, limits, deadlines."""
+"""A gateway with various deployments' settings: names, idempotency, plans, limits and deadlines."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from tests.support.gateway_harness import SETTINGS, GatewayHarness, running_gateway
 from tests.support.request_commands import request_command
 
-VALUE = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
+VALUE_REPLY = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 SHORT_DEADLINE_MS = 400.0
 LONG_DEADLINE_MS = 9_000.0
 
@@ -32,7 +32,7 @@
     capabilities: dict[str, Any],
     **rules: float,
 ) -> dict[str, Any]:
-    """Settings in the platform's form; what is not given is as in all tests."""
+    """Return settings in the platform's format; keys not given here have their values from `SETTINGS`."""
     return {
         **SETTINGS,
         "classes": classes,
@@ -43,7 +43,7 @@
 
 
 QUOTA_UNITS = 3
-"""Units that the first plan of each deployment allows at once; the second has no quota."""
+"""Burst of the first plan of each deployment, in units; the second plan has no quota."""
 
 DEPLOYMENTS = {
     "long": deployment(
@@ -78,11 +78,15 @@
 }
 
 RETRIED_EFFECTS = {"pure", "token"}
-"""All backends of the tests are in one zone and cell, so each recognises the others' idempotency keys."""
+"""The effects whose requests are retried.
+
+Requests with an idempotency key are among them because all backends here are in one zone and cell: whatever
+the deduplication scope, each recognises the others' keys.
+"""
 
 CASES = [
-    (name, class_index)
-    for name, settings in DEPLOYMENTS.items()
+    (deployment_name, class_index)
+    for deployment_name, settings in DEPLOYMENTS.items()
     for class_index in range(len(settings["classes"]))
 ]
 
@@ -90,7 +94,7 @@
 def command_for(
     settings: dict[str, Any], class_index: int, request_id: str, plan_index: int = 1
 ) -> tuple[bytes, ...]:
-    """A request of this class and plan, as a client sends it."""
+    """Return the command that a client sends for a request of this class and plan."""
     given_class = settings["classes"][class_index]
     given_plan = settings["packages"][plan_index]
     return request_command(
@@ -105,15 +109,15 @@
 
 
 async def reply_to(harness: GatewayHarness, *command: bytes) -> Any:
-    """The reply that a new client has to this command."""
+    """Send a command from a new client and return the reply."""
     peer = await harness.client()
     peer.send(*command)
     return await peer.receive()
 
 
-@pytest.mark.parametrize(("name", "class_index"), CASES)
-def test_broken_attempt_is_retried_only_as_the_class_allows(name: str, class_index: int) -> None:
-    settings = DEPLOYMENTS[name]
+@pytest.mark.parametrize(("deployment_name", "class_index"), CASES)
+def test_broken_attempt_is_retried_only_as_the_class_allows(deployment_name: str, class_index: int) -> None:
+    settings = DEPLOYMENTS[deployment_name]
     is_retried = settings["classes"][class_index]["effect"] in RETRIED_EFFECTS
 
     async def scenario() -> None:
@@ -121,7 +125,7 @@
 
         async def break_second_attempt(command: list[bytes]) -> ScriptedReply:
             attempts.append(command[2])
-            return b"" if command[2] == b"breaks" and len(attempts) == 2 else VALUE
+            return b"" if command[2] == b"breaks" and len(attempts) == 2 else VALUE_REPLY
 
         harness = GatewayHarness(FakeBackend(break_second_attempt), FakeBackend(break_second_attempt))
         harness.settings = settings
@@ -140,10 +144,13 @@
     run_in_loop(scenario)
 
 
-@pytest.mark.parametrize(("name", "class_index"), [case for case in CASES if case[0] != "long"])
-def test_backend_that_hangs_costs_no_client_its_reply(name: str, class_index: int) -> None:
-    """One final reply before the deadline; a non-idempotent request that may have run is not rejected."""
-    settings = DEPLOYMENTS[name]
+@pytest.mark.parametrize(("deployment_name", "class_index"), [case for case in CASES if case[0] != "long"])
+def test_backend_that_hangs_costs_no_client_its_reply(deployment_name: str, class_index: int) -> None:
+    """The client gets one final reply before the deadline.
+
+    A non-idempotent request that may have run gets a failure, not a rejection.
+    """
+    settings = DEPLOYMENTS[deployment_name]
     given_class = settings["classes"][class_index]
 
     async def never_reply(_command: list[bytes]) -> ScriptedReply:
@@ -171,9 +178,9 @@
     run_in_loop(scenario)
 
 
-@pytest.mark.parametrize("name", DEPLOYMENTS)
-def test_quota_and_retry_after_are_those_of_the_settings(name: str) -> None:
-    settings = DEPLOYMENTS[name]
+@pytest.mark.parametrize("deployment_name", DEPLOYMENTS)
+def test_quota_and_retry_after_are_those_of_the_settings(deployment_name: str) -> None:
+    settings = DEPLOYMENTS[deployment_name]
     capabilities = settings["caps"]
 
     async def scenario() -> None:
