--- a/benchmarks/capacity_slopes/backend_choice.py
+++ b/benchmarks/capacity_slopes/backend_choice.py
@@ -20,10 +20,10 @@
 REQUEST_RATE = 270
 """Requests a second of one gateway, in virtual time."""
 
-IN_FLIGHT = 20
+ATTEMPTS_IN_FLIGHT = 20
 """Attempts in flight at any time."""
 
-ATTEMPT_MS = 75.0
+ATTEMPT_LATENCY_MS = 75.0
 
 WARM_UP_REQUESTS = 2_000
 TIMED_REQUESTS = 1_000
@@ -44,7 +44,7 @@
         self._rng = random.Random(1)
 
     def serve(self, requests: int) -> None:
-        """Send so many requests, and end the oldest attempts beyond `IN_FLIGHT`."""
+        """Send so many requests, and end the oldest attempts beyond `ATTEMPTS_IN_FLIGHT`."""
         for _ in range(requests):
             self._now += 1000 / REQUEST_RATE
             request_id = f"{int(self._now * 10):016x}"
@@ -53,11 +53,11 @@
                 request_id, REQUEST_CLASS, "free", "c", self._now + DEADLINE_MS, 1.0, 1, 0
             )
             self._deliver(arrived, 0)
-            while len(self._open_attempts) > IN_FLIGHT:
+            while len(self._open_attempts) > ATTEMPTS_IN_FLIGHT:
                 oldest_id, number, backend_id = self._open_attempts.popleft()
                 is_ok = self._rng.random() >= self._failure_rate
                 outcome = Outcome.OK if is_ok else Outcome.FAILED
-                ended = AttemptEnded(oldest_id, number, backend_id, outcome, ATTEMPT_MS, is_ok)
+                ended = AttemptEnded(oldest_id, number, backend_id, outcome, ATTEMPT_LATENCY_MS, is_ok)
                 self._deliver(ended, number + 1)
 
     def _deliver(self, event: Event, attempt_number: int) -> None:
@@ -72,7 +72,9 @@
 
 def run() -> None:
     """Print a row for each size of the subset and rate of failures."""
-    print(f"A choice and a request, by the size of a gateway's subset; {IN_FLIGHT} attempts in flight")
+    print(
+        f"A choice and a request, by the size of a gateway's subset; {ATTEMPTS_IN_FLIGHT} attempts in flight"
+    )
     print_header("backends in the subset", "failure rate", "us per choice", "us per request")
     for size in SUBSET_SIZES:
         for failure_rate in FAILURE_RATES:
--- a/benchmarks/capacity_slopes/backend_statistics.py
+++ b/benchmarks/capacity_slopes/backend_statistics.py
@@ -11,7 +11,7 @@
 from gateway.settings_document import parse_settings
 
 from .measurement import retained_bytes
-from .policies import START_MS, arrival, make_policy, make_settings, success
+from .policies import START_MS, arrival_event, make_policy, make_settings, success_event
 from .tables import print_header, print_row
 
 CLASS_COUNTS = (10, 1_000, 75_000)
@@ -30,9 +30,15 @@
     )
     for count in CLASS_COUNTS:
         document: dict[str, Any] = {"classes": [class_entry(number) for number in range(count)]}
-        size = retained_bytes(partial(policy_after_requests, count))
-        configured_size = retained_bytes(partial(configured_policy, document))
-        print_row(count, size, size // count, configured_size // count, len(json.dumps(document)) // count)
+        policy_bytes = retained_bytes(partial(policy_after_requests, count))
+        configured_policy_bytes = retained_bytes(partial(configured_policy, document))
+        print_row(
+            count,
+            policy_bytes,
+            policy_bytes // count,
+            configured_policy_bytes // count,
+            len(json.dumps(document)) // count,
+        )
 
 
 def policy_after_requests(class_count: int) -> GatewayPolicy:
@@ -40,9 +46,9 @@
     policy = make_policy(make_settings(), backends=1)
     for number in range(class_count):
         now = START_MS + number
-        for action in policy.handle(now, arrival(now, request_class=f"route-{number}")):
+        for action in policy.handle(now, arrival_event(now, request_class=f"route-{number}")):
             if isinstance(action, StartAttempt):
-                ended = success(action.backend_id, duration_ms=SERVICE_TIME_MS)
+                ended = success_event(action.backend_id, duration_ms=SERVICE_TIME_MS)
                 policy.handle(now + 0.5, ended)
     return policy
 
--- a/benchmarks/capacity_slopes/counter_calls.py
+++ b/benchmarks/capacity_slopes/counter_calls.py
@@ -12,10 +12,10 @@
 GATEWAY_SET_SIZES = (2, 12, 100, 400)
 """Gateways that serve a customer."""
 
-RUN_S = 20
+SIMULATED_S = 20
 """Virtual duration of a case."""
 
-MIN_REQUESTS = 4_000
+MIN_EXPECTED_REQUESTS = 4_000
 """Approximate number of requests of a case."""
 
 
@@ -44,17 +44,17 @@
         "bytes per request",
         "bytes per call",
     )
-    for set_size in GATEWAY_SET_SIZES:
+    for gateway_set_size in GATEWAY_SET_SIZES:
         for demand in DEMANDS:
-            print_row(set_size, *demand, *measure(set_size, demand))
+            print_row(gateway_set_size, *demand, *measure_demand(gateway_set_size, demand))
 
 
-def measure(set_size: int, demand: Demand) -> tuple[object, ...]:
+def measure_demand(gateway_set_size: int, demand: Demand) -> tuple[object, ...]:
     """Return the requests, the forwarded fraction, and the calls and bytes at the counter."""
-    fleet = VirtualFleet(set_size, metered_plan(demand.plan_rate, demand.burst))
-    for number in range(math.ceil(MIN_REQUESTS / RUN_S / demand.request_rate)):
-        fleet.add_customer(f"{number:016x}", demand.request_rate, list(range(set_size)))
-    fleet.run(RUN_S)
+    fleet = VirtualFleet(gateway_set_size, metered_plan(demand.plan_rate, demand.burst))
+    for number in range(math.ceil(MIN_EXPECTED_REQUESTS / SIMULATED_S / demand.request_rate)):
+        fleet.add_customer(f"{number:016x}", demand.request_rate, list(range(gateway_set_size)))
+    fleet.run(SIMULATED_S)
     requests = fleet.counts["requests"]
     calls = fleet.counts["counter calls"]
     sent_bytes = fleet.counts["counter bytes"]
--- a/benchmarks/capacity_slopes/counter_outage.py
+++ b/benchmarks/capacity_slopes/counter_outage.py
@@ -51,16 +51,22 @@
         "unreported at its end, bursts per customer",
         "15 s after",
     )
-    for set_size in GATEWAY_SET_SIZES:
+    for gateway_set_size in GATEWAY_SET_SIZES:
         for request_rate in REQUEST_RATES:
-            print_row(set_size, request_rate, PLAN_RATE, BURST, *measure(set_size, request_rate))
+            print_row(
+                gateway_set_size,
+                request_rate,
+                PLAN_RATE,
+                BURST,
+                *measure_outage(gateway_set_size, request_rate),
+            )
 
 
-def measure(set_size: int, request_rate: float) -> list[float]:
+def measure_outage(gateway_set_size: int, request_rate: float) -> list[float]:
     """Return the forwarded fraction of the quota in each phase; before the last, the unreported bursts."""
-    fleet = VirtualFleet(set_size, metered_plan(PLAN_RATE, BURST))
+    fleet = VirtualFleet(gateway_set_size, metered_plan(PLAN_RATE, BURST))
     for number in range(CUSTOMERS):
-        fleet.add_customer(f"{number:016x}", request_rate, list(range(set_size)))
+        fleet.add_customer(f"{number:016x}", request_rate, list(range(gateway_set_size)))
     fleet.run(WARM_UP_S)
     figures: list[float] = []
     for phase in PHASES:
--- a/benchmarks/capacity_slopes/discovery_starts.py
+++ b/benchmarks/capacity_slopes/discovery_starts.py
@@ -20,7 +20,7 @@
 MAX_LIST_AGE_S = 10.0
 """Age of an endpoint list at which a gateway polls again."""
 
-RUN_S = 600.0
+SIMULATED_S = 600.0
 """Virtual time of a case."""
 
 MAX_JITTER_S = 0.01
@@ -38,28 +38,28 @@
         "until all have the list, s",
     )
     for gateways in GATEWAY_COUNTS:
-        print_row(gateways, *measure(gateways))
+        print_row(gateways, *measure_start(gateways))
 
 
-def measure(gateways: int) -> tuple[object, ...]:
+def measure_start(gateways: int) -> tuple[object, ...]:
     """Return the calls of the busiest second, those rejected, and when half and all have the list."""
     rng = random.Random(1)
     backoffs = [Backoff(gateways, MAX_LIST_AGE_S, random.Random(index)) for index in range(gateways)]
     queue = [(backoff.initial_delay(), index) for index, backoff in enumerate(backoffs)]
     heapq.heapify(queue)
-    calls: Counter[int] = Counter()
-    served: Counter[int] = Counter()
+    calls_by_second: Counter[int] = Counter()
+    served_by_second: Counter[int] = Counter()
     served_at: list[float] = []
-    while queue and queue[0][0] < RUN_S:
+    while queue and queue[0][0] < SIMULATED_S:
         now, index = heapq.heappop(queue)
         second = int(now)
-        calls[second] += 1
-        if served[second] < SERVED_PER_SECOND:
-            served[second] += 1
+        calls_by_second[second] += 1
+        if served_by_second[second] < SERVED_PER_SECOND:
+            served_by_second[second] += 1
             served_at.append(now)
         else:
             retry_at = now + backoffs[index].next_delay() + rng.random() * MAX_JITTER_S
             heapq.heappush(queue, (retry_at, index))
-    rejected = sum(calls.values()) - len(served_at)
+    rejected = sum(calls_by_second.values()) - len(served_at)
     all_served_at = max(served_at) if len(served_at) == gateways else math.inf
-    return max(calls.values()), rejected, statistics.median(served_at), all_served_at
+    return max(calls_by_second.values()), rejected, statistics.median(served_at), all_served_at
--- a/benchmarks/capacity_slopes/known_customers.py
+++ b/benchmarks/capacity_slopes/known_customers.py
@@ -16,15 +16,15 @@
     REQUEST_ID,
     SERVICE_TIME_MS,
     START_MS,
-    arrival,
+    arrival_event,
     make_policy,
     make_settings,
     metered_plan,
 )
-from .policy_internals import make_cleanup_due, postpone_cleanup
+from .policy_internals import make_idle_search_due, postpone_idle_search
 from .tables import print_header, print_row
 
-RATE = 12.0
+PLAN_RATE = 12.0
 """Quota of the plan, in units a second."""
 
 
@@ -55,12 +55,12 @@
 QUOTA_CASES = (LOCAL_LEASES, SHARED_BUCKETS)
 
 
-class KnownCustomers:
+class GatewayWithKnownCustomers:
     """A gateway that has served so many customers."""
 
     def __init__(self, count: int, quota: QuotaCase, *, counter_available: bool) -> None:
         settings = make_settings(
-            metered_plan(RATE, quota.burst),
+            metered_plan(PLAN_RATE, quota.burst),
             gateways=quota.gateways_per_customer,
             counter_available=counter_available,
         )
@@ -72,7 +72,7 @@
     def send_requests(self, customers: Iterable[int]) -> None:
         """Send a request of each, a second after the last; counter calls get their responses."""
         self._now += REQUEST_INTERVAL_MS
-        postpone_cleanup(self.policy, self._now)
+        postpone_idle_search(self.policy, self._now)
         for customer in customers:
             # Created here: a builder's call would be timed as well.
             arrived = RequestArrived(
@@ -94,11 +94,11 @@
                     ended = AttemptEnded(REQUEST_ID, 0, action.backend_id, Outcome.OK, SERVICE_TIME_MS, True)
                     self.policy.handle(self._now + 0.001, ended)
 
-    def search_idle(self) -> None:
+    def search_idle_customers(self) -> None:
         """Send a request at whose arrival the search for idle customers is due; none is idle."""
-        make_cleanup_due(self.policy)
-        unknown = arrival(self._now, customer="", timeout_ms=1.0)
-        self.policy.handle(self._now, unknown)
+        make_idle_search_due(self.policy)
+        arrived = arrival_event(self._now, customer="", timeout_ms=1.0)
+        self.policy.handle(self._now, arrived)
         self.policy.handle(self._now, ClientDisconnected(REQUEST_ID))
 
 
@@ -116,17 +116,17 @@
     )
     for quota in QUOTA_CASES:
         for count in CUSTOMER_COUNTS:
-            print_row(*quota, *measure(count, quota))
+            print_row(*quota, *measure_customers(count, quota))
 
 
-def measure(count: int, quota: QuotaCase) -> tuple[object, ...]:
+def measure_customers(count: int, quota: QuotaCase) -> tuple[object, ...]:
     """Return the number of customers, and the memory and processor time of each."""
-    create = partial(KnownCustomers, count, quota)
-    size = retained_bytes(partial(create, counter_available=False)) // count
-    without_counter = create(counter_available=False)
-    with_counter = create(counter_available=True)
+    create_gateway = partial(GatewayWithKnownCustomers, count, quota)
+    bytes_per_customer = retained_bytes(partial(create_gateway, counter_available=False)) // count
+    without_counter = create_gateway(counter_available=False)
+    with_counter = create_gateway(counter_available=True)
     sample = range(0, count, max(1, count // SAMPLE_SIZE))
     request_us = min_cpu_us(partial(without_counter.send_requests, sample)) / len(sample)
     counted_request_us = min_cpu_us(partial(with_counter.send_requests, sample)) / len(sample)
-    search_us = min_cpu_us(without_counter.search_idle) / count
-    return count, size, request_us, counted_request_us, search_us
+    search_us = min_cpu_us(without_counter.search_idle_customers) / count
+    return count, bytes_per_customer, request_us, counted_request_us, search_us
--- a/benchmarks/capacity_slopes/listed_backends.py
+++ b/benchmarks/capacity_slopes/listed_backends.py
@@ -18,14 +18,14 @@
 from scale.fakes.discovery import HEARTBEAT, HEARTBEAT_INTERVAL_S, encode_chunk
 from scale.fakes.endpoint_list import encode_entry, encode_list, make_entry
 
-from .measurement import min_cpu_us, peak_mb, retained_bytes
-from .policies import BACKENDS_PER_CELL, START_MS, make_endpoints, make_settings, snapshot
+from .measurement import min_cpu_us, peak_memory_mb, retained_bytes
+from .policies import BACKENDS_PER_CELL, START_MS, make_endpoints, make_settings, snapshot_event
 from .tables import print_header, print_row
 
 FLEET_GATEWAYS = 3_700
 LIST_SIZES = (1_000, 10_000, 39_000)
 LIST_VERSION = 1_000_000
-SLOW_RUNS = 3
+SLOW_WORK_RUNS = 3
 """Repeats of work that takes long."""
 
 CONNECT_TIMEOUT_MS = 250.0
@@ -38,7 +38,7 @@
 class PoolCost(NamedTuple):
     """What an endpoint list costs the pool: bytes of memory, and the time of one sweep."""
 
-    size: int
+    memory_bytes: int
     sweep_us: float
 
 
@@ -58,45 +58,45 @@
         "ms per sweep of the pool",
     )
     for count in LIST_SIZES:
-        print_row(*measure(count))
+        print_row(*measure_list(count))
 
 
 def print_change_size() -> None:
     """Print how many bytes a change and a heartbeat take on the watch."""
-    change = encode_snapshot_or_change([encoded_backend(1_000, "draining")], is_snapshot=False)
+    change = encode_snapshot_or_delta([encode_backend(1_000, "draining")], is_snapshot=False)
     line_size = len(change) + 1
     chunk_size = len(encode_chunk(change))
     print(f"One change on the watch: {line_size} bytes, {chunk_size} with its chunk framing;")
     print(f"a heartbeat: {len(HEARTBEAT)} bytes with its chunk framing, every {HEARTBEAT_INTERVAL_S:g} s")
 
 
-def measure(count: int) -> tuple[object, ...]:
+def measure_list(count: int) -> tuple[object, ...]:
     """Return the row of a list of so many backends."""
-    entries = [encoded_backend(number) for number in range(count)]
-    text = encode_snapshot_or_change(entries, is_snapshot=True).decode()
-    parse_us = min_cpu_us(partial(parse_list, text), SLOW_RUNS)
-    parse_peak_mb = peak_mb(partial(parse_list, text))
+    entries = [encode_backend(number) for number in range(count)]
+    list_json = encode_snapshot_or_delta(entries, is_snapshot=True).decode()
+    parse_us = min_cpu_us(partial(parse_list, list_json), SLOW_WORK_RUNS)
+    parse_peak_mb = peak_memory_mb(partial(parse_list, list_json))
     endpoints = make_endpoints(count)
     create_policy = partial(policy_with_list, endpoints)
-    apply_us = min_cpu_us(create_policy, SLOW_RUNS)
+    apply_us = min_cpu_us(create_policy, SLOW_WORK_RUNS)
     one_change = EndpointUpdate(UpdateKind.DELTA, make_endpoints(1, started_at=START_MS))
     change_us = min_cpu_us(partial(create_policy().handle, START_MS, one_change))
     pool = asyncio.run(measure_pool(endpoints))
-    size = (retained_bytes(create_policy) + pool.size) // count
+    bytes_per_backend = (retained_bytes(create_policy) + pool.memory_bytes) // count
     return (
         count,
-        len(text),
-        len(text) // count,
+        len(list_json),
+        len(list_json) // count,
         parse_us / 1000,
         parse_peak_mb,
         apply_us / 1000,
-        size,
+        bytes_per_backend,
         change_us / 1000,
         pool.sweep_us / 1000,
     )
 
 
-def encoded_backend(number: int, health: str = "up") -> bytes:
+def encode_backend(number: int, health: str = "up") -> bytes:
     """Return the entry of backend `number` as it goes on the wire."""
     entry = make_entry(
         f"s-{number:08x}",
@@ -108,21 +108,21 @@
     return encode_entry(entry)
 
 
-def encode_snapshot_or_change(entries: list[bytes], *, is_snapshot: bool) -> bytes:
+def encode_snapshot_or_delta(entries: list[bytes], *, is_snapshot: bool) -> bytes:
     """Return the JSON line of a snapshot or of a change."""
     return encode_list(LIST_VERSION, entries, is_snapshot=is_snapshot)
 
 
-def parse_list(text: str) -> None:
+def parse_list(list_json: str) -> None:
     """Parse a list as the endpoint watcher does, in parts."""
-    for hosts in iterate_array(text, "hosts", ENDPOINTS_PER_TURN, {}):
+    for hosts in iterate_array(list_json, "hosts", ENDPOINTS_PER_TURN, {}):
         parse_endpoints(hosts)
 
 
 def policy_with_list(endpoints: tuple[Endpoint, ...]) -> GatewayPolicy:
     """Return a policy that has applied a complete list; a long one is ordered in several steps."""
     policy = GatewayPolicy(make_settings(gateways=FLEET_GATEWAYS), 1)
-    actions = policy.handle(START_MS, snapshot(endpoints))
+    actions = policy.handle(START_MS, snapshot_event(endpoints))
     while actions:
         actions = policy.handle(START_MS, TimerFired(TimerToken(TimerKind.REBUILD_SUBSET)))
     return policy
@@ -140,10 +140,10 @@
         max_connections=MAX_CONNECTIONS,
         max_buffered_bytes=MAX_REPLY_BYTES,
     )
-    size = retained_bytes(partial(add_to_pool, pool, endpoints))
+    memory_bytes = retained_bytes(partial(add_to_pool, pool, endpoints))
     sweep_us = min_cpu_us(pool.sweep)
     pool.close()
-    return PoolCost(size, sweep_us)
+    return PoolCost(memory_bytes, sweep_us)
 
 
 def add_to_pool(pool: BackendPool, endpoints: tuple[Endpoint, ...]) -> list[None]:
--- a/benchmarks/capacity_slopes/measurement.py
+++ b/benchmarks/capacity_slopes/measurement.py
@@ -33,7 +33,7 @@
     return size
 
 
-def peak_mb(work: Callable[[], object]) -> float:
+def peak_memory_mb(work: Callable[[], object]) -> float:
     """Return the peak memory allocated by the work, in MB of a million bytes."""
     tracemalloc.start()
     work()
--- a/benchmarks/capacity_slopes/policies.py
+++ b/benchmarks/capacity_slopes/policies.py
@@ -78,7 +78,7 @@
 def make_policy(settings: Settings, *, backends: int, seed: int = 1) -> GatewayPolicy:
     """Return a policy that has applied a list of so many backends."""
     policy = GatewayPolicy(settings, seed)
-    policy.handle(START_MS, snapshot(make_endpoints(backends)))
+    policy.handle(START_MS, snapshot_event(make_endpoints(backends)))
     return policy
 
 
@@ -97,12 +97,12 @@
     )
 
 
-def snapshot(endpoints: tuple[Endpoint, ...]) -> EndpointUpdate:
+def snapshot_event(endpoints: tuple[Endpoint, ...]) -> EndpointUpdate:
     """Return the event of a complete list."""
     return EndpointUpdate(UpdateKind.SNAPSHOT, endpoints)
 
 
-def arrival(  # noqa: PLR0913 - one argument for each field that varies
+def arrival_event(  # noqa: PLR0913 - one argument for each field that varies
     now: float,
     *,
     request_id: str = REQUEST_ID,
@@ -110,8 +110,8 @@
     plan: str = "free",
     customer: str = "c",
     timeout_ms: float = DEADLINE_MS,
-    set_size: int = 1,
-    set_start: int = 0,
+    gateway_set_size: int = 1,
+    gateway_set_start: int = 0,
 ) -> RequestArrived:
     """Return the event of a request that costs one unit."""
     return RequestArrived(
@@ -121,12 +121,12 @@
         customer=customer,
         deadline=now + timeout_ms,
         cost=1.0,
-        gateway_set_size=set_size,
-        gateway_set_start=set_start,
+        gateway_set_size=gateway_set_size,
+        gateway_set_start=gateway_set_start,
     )
 
 
-def success(
+def success_event(
     backend_id: int, *, request_id: str = REQUEST_ID, duration_ms: float = SERVICE_TIME_MS
 ) -> AttemptEnded:
     """Return the event of a first attempt that succeeded."""
--- a/benchmarks/capacity_slopes/policy_internals.py
+++ b/benchmarks/capacity_slopes/policy_internals.py
@@ -8,17 +8,17 @@
 from gateway.policy.policy import GatewayPolicy
 
 
-def postpone_cleanup(policy: GatewayPolicy, now: float) -> None:
+def postpone_idle_search(policy: GatewayPolicy, now: float) -> None:
     """Make the policy search for idle customers no sooner than after a full interval."""
     policy.leases.swept_at = now
 
 
-def make_cleanup_due(policy: GatewayPolicy) -> None:
+def make_idle_search_due(policy: GatewayPolicy) -> None:
     """Make the policy search for idle customers at the next arrival."""
     policy.leases.swept_at = 0.0
 
 
-def known_customers(policy: GatewayPolicy) -> int:
+def known_customer_count(policy: GatewayPolicy) -> int:
     """Return how many customers have a lease."""
     return len(policy.leases.by_customer)
 
@@ -28,12 +28,12 @@
     return sum(lease.unreported_usage for policy in policies for lease in policy.leases.by_customer.values())
 
 
-def open_requests(policy: GatewayPolicy) -> int:
+def open_request_count(policy: GatewayPolicy) -> int:
     """Return how many requests await their final response."""
     return len(policy.requests)
 
 
-def pending_counter_calls(policy: GatewayPolicy) -> int:
+def pending_counter_name_count(policy: GatewayPolicy) -> int:
     """Return under how many names calls to the counter await a response."""
     return len(policy.counter.calls.by_name)
 
@@ -43,7 +43,7 @@
     return len(policy.subset)
 
 
-def open_attempts(policy: GatewayPolicy) -> int:
+def open_attempt_count(policy: GatewayPolicy) -> int:
     """Return how many attempts are in flight."""
     return len(policy.retries.attempts)
 
--- a/benchmarks/capacity_slopes/virtual_fleet.py
+++ b/benchmarks/capacity_slopes/virtual_fleet.py
@@ -12,9 +12,9 @@
 from gateway.policy.actions import IncrementCounter, SetTimer, StartAttempt
 from gateway.policy.events import CounterResponse, Event, Outcome, TimerFired
 
-from .policies import SERVICE_TIME_MS, START_MS, arrival, make_policy, make_settings, success
+from .policies import SERVICE_TIME_MS, START_MS, arrival_event, make_policy, make_settings, success_event
 
-COUNTER_ONE_WAY_MS = 1.0
+COUNTER_ONE_WAY_LATENCY_MS = 1.0
 """Network latency to the counter, and again back."""
 
 BACKENDS = 8
@@ -60,13 +60,13 @@
         self._call_later(self._rng.expovariate(rate) * 1000, send_next)
         self._last_serial += 1
         self.counts["requests"] += 1
-        event = arrival(
+        event = arrival_event(
             self.now,
             request_id=f"{self._last_serial:016x}",
             plan=self._plan_name,
             customer=customer,
-            set_size=len(gateways),
-            set_start=gateways[0],
+            gateway_set_size=len(gateways),
+            gateway_set_start=gateways[0],
         )
         self._deliver(self._rng.choice(gateways), event)
 
@@ -81,10 +81,10 @@
                     self._call_later(delay_ms, partial(self._deliver, index, TimerFired(token)))
                 case IncrementCounter(name, amount, expire_in_ms):
                     reply = self._increment(name, amount, expire_in_ms)
-                    self._call_later(2 * COUNTER_ONE_WAY_MS, partial(self._deliver, index, reply))
+                    self._call_later(2 * COUNTER_ONE_WAY_LATENCY_MS, partial(self._deliver, index, reply))
                 case StartAttempt(request_id, backend_id):
                     self.counts["forwarded"] += 1
-                    ended = success(backend_id, request_id=request_id)
+                    ended = success_event(backend_id, request_id=request_id)
                     self._call_later(SERVICE_TIME_MS, partial(self._deliver, index, ended))
 
     def _increment(self, name: str, amount: float, expire_in_ms: float) -> CounterResponse:
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -28,7 +28,7 @@
     """A scenario of the command line: its function, and what it measures."""
 
     run: Callable[[], None]
-    measures: str
+    description: str
 
 
 SCENARIOS = {
@@ -49,7 +49,7 @@
     parser = argparse.ArgumentParser(description=DESCRIPTION)
     scenarios = parser.add_subparsers(dest="scenario", metavar="SCENARIO", required=True)
     for name, scenario in SCENARIOS.items():
-        scenarios.add_parser(name, help=scenario.measures)
+        scenarios.add_parser(name, help=scenario.description)
     SCENARIOS[parser.parse_args().scenario].run()
 
 
--- a/tests/scale/test_slopes.py
+++ b/tests/scale/test_slopes.py
@@ -7,13 +7,13 @@
 import pytest
 import slopes
 from capacity_slopes.backend_choice import BusyGateway
-from capacity_slopes.known_customers import SHARED_BUCKETS, KnownCustomers
+from capacity_slopes.known_customers import SHARED_BUCKETS, GatewayWithKnownCustomers
 from capacity_slopes.policies import metered_plan
 from capacity_slopes.policy_internals import (
-    known_customers,
-    open_attempts,
-    open_requests,
-    pending_counter_calls,
+    known_customer_count,
+    open_attempt_count,
+    open_request_count,
+    pending_counter_name_count,
     subset_size,
 )
 from capacity_slopes.virtual_fleet import VirtualFleet
@@ -45,14 +45,14 @@
 
 
 def test_all_known_customers_are_served_and_remembered() -> None:
-    known = KnownCustomers(50, SHARED_BUCKETS, counter_available=True)
+    gateway = GatewayWithKnownCustomers(50, SHARED_BUCKETS, counter_available=True)
 
-    known.send_requests(range(50))
-    known.search_idle()
+    gateway.send_requests(range(50))
+    gateway.search_idle_customers()
 
-    assert known_customers(known.policy) == 51  # with the customer that makes the search due
-    assert open_requests(known.policy) == 0
-    assert pending_counter_calls(known.policy) == 0
+    assert known_customer_count(gateway.policy) == 51  # with the customer that makes the search due
+    assert open_request_count(gateway.policy) == 0
+    assert pending_counter_name_count(gateway.policy) == 0
 
 
 def test_a_choice_is_made_among_all_backends_of_the_subset() -> None:
@@ -62,7 +62,7 @@
     gateway.choose(3)
 
     assert subset_size(gateway.policy) == 12
-    assert open_attempts(gateway.policy) == 20
+    assert open_attempt_count(gateway.policy) == 20
 
 
 def test_a_scenario_is_a_command(monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]) -> None:
