--- a/benchmarks/capacity_slopes/__init__.py
+++ b/benchmarks/capacity_slopes/__init__.py
@@ -1,6 +1,6 @@
-"""What each further customer, listed backend or counter call costs a gateway: the slopes of docs/CAPACITY.md.
+"""Benchmarks of the marginal cost of a customer, a listed backend and a counter call, for docs/CAPACITY.md.
 
-Each scenario prints a table. Times are processor time, the least of several runs; bytes of memory are those
-that the interpreter has allocated. `counter`, `starts` and `outage` run gateways in virtual time, with a
-fixed seed.
+Each scenario prints a table. Times are processor times, each the minimum of several runs; memory is counted
+in the bytes that the interpreter has allocated. The scenarios `counter`, `starts` and `outage` simulate
+gateways in virtual time, with a fixed seed.
 """
--- a/benchmarks/capacity_slopes/backend_choice.py
+++ b/benchmarks/capacity_slopes/backend_choice.py
@@ -1,4 +1,7 @@
-"""Scenario `pick`: a choice of a backend, and a request with all its events, by the size of the subset."""
+"""Scenario `pick`: the processor time of a backend choice and of a request, by the size of the subset.
+
+The time of a request includes all its events.
+"""
 
 from __future__ import annotations
 
@@ -18,10 +21,10 @@
 FAILURE_RATES = (0.0, 0.05)
 
 REQUEST_RATE = 270
-"""Requests a second of one gateway, in virtual time."""
+"""Requests per second of virtual time that the gateway gets."""
 
 ATTEMPTS_IN_FLIGHT = 20
-"""Attempts in flight at any time."""
+"""Number of attempts that are kept in flight."""
 
 ATTEMPT_LATENCY_MS = 75.0
 
@@ -30,7 +33,7 @@
 
 
 OpenAttempt = tuple[str, int, int]
-"""Request id, number and backend id of an attempt; a bare tuple, because its creation is timed too."""
+"""Request id, number and backend id of an attempt; a plain tuple, because its creation is timed too."""
 
 
 class BusyGateway:
@@ -44,11 +47,11 @@
         self._rng = random.Random(1)
 
     def serve(self, requests: int) -> None:
-        """Send so many requests, and end the oldest attempts beyond `ATTEMPTS_IN_FLIGHT`."""
+        """Send `requests` requests; after each, end the oldest attempts beyond `ATTEMPTS_IN_FLIGHT`."""
         for _ in range(requests):
             self._now += 1000 / REQUEST_RATE
             request_id = f"{int(self._now * 10):016x}"
-            # Created by position: keywords and a builder's call would be timed as well.
+            # Keyword arguments or a call of `arrival_event` would be timed too.
             arrived = RequestArrived(
                 request_id, REQUEST_CLASS, "free", "c", self._now + DEADLINE_MS, 1.0, 1, 0
             )
@@ -66,12 +69,12 @@
                 self._open_attempts.append((action.request_id, attempt_number, action.backend_id))
 
     def choose(self, count: int) -> None:
-        """Choose a backend so many times."""
+        """Choose a backend `count` times."""
         choose_backends(self.policy, self._now, count)
 
 
 def run() -> None:
-    """Print a row for each size of the subset and rate of failures."""
+    """Print a table with a row for each subset size and failure rate."""
     print(
         f"A choice and a request, by the size of a gateway's subset; {ATTEMPTS_IN_FLIGHT} attempts in flight"
     )
--- a/benchmarks/capacity_slopes/backend_statistics.py
+++ b/benchmarks/capacity_slopes/backend_statistics.py
@@ -1,4 +1,4 @@
-"""Scenario `scores`: the memory of one backend's outlier scores, where each route is a request class."""
+"""Scenario `scores`: the memory of one backend's outlier scores, with a request class for each route."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def run() -> None:
-    """Print a row for each number of request classes."""
+    """Print a table with a row for each number of request classes."""
     print("Outlier scores of one backend, by the number of request classes that it has served")
     print_header(
         "request classes",
@@ -54,12 +54,12 @@
 
 
 def configured_policy(document: dict[str, Any]) -> GatewayPolicy:
-    """Return a policy with the settings of a document."""
+    """Return a policy with the settings of `document`."""
     return GatewayPolicy(parse_settings(document), 1)
 
 
 def class_entry(number: int) -> dict[str, Any]:
-    """Return a request class in the form of the settings document."""
+    """Return the settings-document entry of request class `number`."""
     return {
         "aim": 750.0,
         "deadline": 2500.0,
--- a/benchmarks/capacity_slopes/counter_calls.py
+++ b/benchmarks/capacity_slopes/counter_calls.py
@@ -10,17 +10,17 @@
 from .virtual_fleet import VirtualFleet
 
 GATEWAY_SET_SIZES = (2, 12, 100, 400)
-"""Gateways that serve a customer."""
+"""Numbers of gateways that serve a customer."""
 
 SIMULATED_S = 20
-"""Virtual duration of a case."""
+"""Virtual duration of each simulated case."""
 
 MIN_EXPECTED_REQUESTS = 4_000
-"""Approximate number of requests of a case."""
+"""Minimum expected number of requests of a case; the actual number is random."""
 
 
 class Demand(NamedTuple):
-    """A customer's requests a second, and its plan: units a second, and the burst in units."""
+    """A customer's requests per second, and its plan: the rate in units per second, the burst in units."""
 
     request_rate: float
     plan_rate: float
@@ -31,7 +31,7 @@
 
 
 def run() -> None:
-    """Print a row for each size of the gateway set and each demand."""
+    """Print a table with a row for each size of the gateway set and each demand."""
     print("Calls and bytes at the counter per request; the counter responds to each call")
     print_header(
         "gateways per customer",
@@ -50,7 +50,7 @@
 
 
 def measure_demand(gateway_set_size: int, demand: Demand) -> tuple[object, ...]:
-    """Return the requests, the forwarded fraction, and the calls and bytes at the counter."""
+    """Return the requests, the forwarded fraction, calls and bytes per request, and bytes per call."""
     fleet = VirtualFleet(gateway_set_size, metered_plan(demand.plan_rate, demand.burst))
     for number in range(math.ceil(MIN_EXPECTED_REQUESTS / SIMULATED_S / demand.request_rate)):
         fleet.add_customer(f"{number:016x}", demand.request_rate, list(range(gateway_set_size)))
--- a/benchmarks/capacity_slopes/counter_outage.py
+++ b/benchmarks/capacity_slopes/counter_outage.py
@@ -1,4 +1,4 @@
-"""Scenario `outage`: the counter cannot be reached: usage forwarded meanwhile, and unreported afterwards."""
+"""Scenario `outage`: usage forwarded while the counter cannot be reached, and unreported afterwards."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 CUSTOMERS = 12
 
 GATEWAY_SET_SIZES = (2, 12, 100, 400, 1_850)
-"""Gateways that serve a customer."""
+"""Numbers of gateways that serve a customer."""
 
 REQUEST_RATES = (3.0, 12.0)
-"""Requests a second of a customer: its quota, and four times that."""
+"""Requests per second of a customer: as many as its quota allows, and four times as many."""
 
 PLAN_RATE = 3.0
-"""Quota of a customer, in units a second."""
+"""Quota of a customer, in units per second."""
 
 BURST = 6.0
 """Units that a customer may spend at once."""
@@ -27,18 +27,18 @@
 
 
 class Phase(NamedTuple):
-    """A phase of a case: its length, and whether the counter can be reached."""
+    """A phase of a case: its duration, and whether the counter can be reached."""
 
     seconds: int
     is_counter_up: bool
 
 
 PHASES = (Phase(15, True), Phase(15, False), Phase(45, False), Phase(15, True))
-"""Before the outage, its first 15 s, the rest of it, and after."""
+"""Phases of a case: before the outage, the first 15 s of the outage, the other 45 s, and after the outage."""
 
 
 def run() -> None:
-    """Print a row for each size of the gateway set and rate of requests."""
+    """Print a table with a row for each size of the gateway set and request rate."""
     print("Units forwarded, as a fraction of the quota: before, during and after a counter outage of 60 s")
     print_header(
         "gateways per customer",
@@ -63,7 +63,11 @@
 
 
 def measure_outage(gateway_set_size: int, request_rate: float) -> list[float]:
-    """Return the forwarded fraction of the quota in each phase; before the last, the unreported bursts."""
+    """Return the forwarded fraction of the quota in each phase, and the unreported usage.
+
+    The unreported usage is measured at the end of the outage, in bursts per customer, and stands before the
+    fraction of the last phase.
+    """
     fleet = VirtualFleet(gateway_set_size, metered_plan(PLAN_RATE, BURST))
     for number in range(CUSTOMERS):
         fleet.add_customer(f"{number:016x}", request_rate, list(range(gateway_set_size)))
--- a/benchmarks/capacity_slopes/discovery_starts.py
+++ b/benchmarks/capacity_slopes/discovery_starts.py
@@ -15,20 +15,20 @@
 GATEWAY_COUNTS = (40, 200, 3_700)
 
 SERVED_PER_SECOND = 50
-"""Calls a second that discovery serves; it rejects the others."""
+"""Maximum number of calls that discovery serves in a second; it rejects the others."""
 
 MAX_LIST_AGE_S = 10.0
 """Age of an endpoint list at which a gateway polls again."""
 
 SIMULATED_S = 600.0
-"""Virtual time of a case."""
+"""Virtual duration of each simulated case."""
 
 MAX_JITTER_S = 0.01
-"""Greatest random addition to each backoff, so that no two calls coincide."""
+"""Maximum random time that is added to each backoff delay, so that no two calls coincide."""
 
 
 def run() -> None:
-    """Print a row for each size of the fleet."""
+    """Print a table with a row for each number of gateways."""
     print("Discovery calls when all gateways start together; 50 calls/s are served, poll interval 10 s")
     print_header(
         "gateways",
@@ -42,7 +42,11 @@
 
 
 def measure_start(gateways: int) -> tuple[object, ...]:
-    """Return the calls of the busiest second, those rejected, and when half and all have the list."""
+    """Return the figures of a start of `gateways` gateways.
+
+    They are the calls in the busiest second, the rejected calls, and the seconds until half of the gateways
+    and until all of them have the list.
+    """
     rng = random.Random(1)
     backoffs = [Backoff(gateways, MAX_LIST_AGE_S, random.Random(index)) for index in range(gateways)]
     queue = [(backoff.initial_delay(), index) for index, backoff in enumerate(backoffs)]
--- a/benchmarks/capacity_slopes/known_customers.py
+++ b/benchmarks/capacity_slopes/known_customers.py
@@ -1,4 +1,4 @@
-"""Scenario `customers`: a customer's memory and processor time at a gateway, by the known customers."""
+"""Scenario `customers`: the memory and processor time of a customer, by the number of known customers."""
 
 from __future__ import annotations
 
@@ -25,26 +25,25 @@
 from .tables import print_header, print_row
 
 PLAN_RATE = 12.0
-"""Quota of the plan, in units a second."""
-
+"""Quota of a customer, in units per second."""
 
 CUSTOMER_COUNTS = (1_000, 10_000, 100_000)
 
 SAMPLE_SIZE = 2_000
-"""Customers whose requests are timed, about."""
+"""Approximate number of customers whose requests are timed."""
 
 BACKENDS = 8
 REQUEST_INTERVAL_MS = 1_000.0
 
 EARLIER_USAGE = 6.0
-"""Units that the counter already has: about half of what the period has accrued.
+"""Units in the counter's total before a call: about half of the units that accrued in the period.
 
-A total without earlier usage would be taken for that of a new period.
+A total without earlier usage would be taken for the total of a new period.
 """
 
 
 class QuotaCase(NamedTuple):
-    """How a customer's quota is held, which depends on its burst and on its gateways."""
+    """Burst and number of gateways of a customer: they decide between local leases and a shared bucket."""
 
     burst: int
     gateways_per_customer: int
@@ -56,7 +55,7 @@
 
 
 class GatewayWithKnownCustomers:
-    """A gateway that has served so many customers."""
+    """A gateway that has served a request of each of `count` customers."""
 
     def __init__(self, count: int, quota: QuotaCase, *, counter_available: bool) -> None:
         settings = make_settings(
@@ -70,11 +69,11 @@
         self.send_requests(range(count))
 
     def send_requests(self, customers: Iterable[int]) -> None:
-        """Send a request of each, a second after the last; counter calls get their responses."""
+        """Send a request of each customer, a second after the previous ones, and answer all counter calls."""
         self._now += REQUEST_INTERVAL_MS
         postpone_idle_search(self.policy, self._now)
         for customer in customers:
-            # Created here: a builder's call would be timed as well.
+            # A call of `arrival_event` would be timed too.
             arrived = RequestArrived(
                 request_id=REQUEST_ID,
                 request_class=REQUEST_CLASS,
@@ -95,7 +94,7 @@
                     self.policy.handle(self._now + 0.001, ended)
 
     def search_idle_customers(self) -> None:
-        """Send a request at whose arrival the search for idle customers is due; none is idle."""
+        """Send a request whose arrival triggers the search for idle customers; none is idle."""
         make_idle_search_due(self.policy)
         arrived = arrival_event(self._now, customer="", timeout_ms=1.0)
         self.policy.handle(self._now, arrived)
@@ -103,7 +102,7 @@
 
 
 def run() -> None:
-    """Print a row for each kind of quota and number of customers."""
+    """Print a table with a row for each quota case and number of customers."""
     print("Known customers of a gateway: local leases (burst 40) and shared buckets (burst 2)")
     print_header(
         "burst, units",
@@ -120,7 +119,7 @@
 
 
 def measure_customers(count: int, quota: QuotaCase) -> tuple[object, ...]:
-    """Return the number of customers, and the memory and processor time of each."""
+    """Return `count`, the bytes per customer, and the processor times of a request and of the idle search."""
     create_gateway = partial(GatewayWithKnownCustomers, count, quota)
     bytes_per_customer = retained_bytes(partial(create_gateway, counter_available=False)) // count
     without_counter = create_gateway(counter_available=False)
--- a/benchmarks/capacity_slopes/listed_backends.py
+++ b/benchmarks/capacity_slopes/listed_backends.py
@@ -1,4 +1,7 @@
-"""Scenario `entry`: a listed backend on the wire, in the policy and in the pool, and a change of one."""
+"""Scenario `entry`: the cost of a listed backend on the wire, in the policy and in the pool.
+
+The change of one backend is measured too.
+"""
 
 from __future__ import annotations
 
@@ -26,7 +29,7 @@
 LIST_SIZES = (1_000, 10_000, 39_000)
 LIST_VERSION = 1_000_000
 SLOW_WORK_RUNS = 3
-"""Repeats of work that takes long."""
+"""Number of runs of work that takes long."""
 
 CONNECT_TIMEOUT_MS = 250.0
 KEEPALIVE_MS = 15_000.0
@@ -36,14 +39,14 @@
 
 
 class PoolCost(NamedTuple):
-    """What an endpoint list costs the pool: bytes of memory, and the time of one sweep."""
+    """Cost of an endpoint list in the pool: its memory, and the processor time of one sweep."""
 
     memory_bytes: int
     sweep_us: float
 
 
 def run() -> None:
-    """Print the size of a change, then a row for each length of the list."""
+    """Print the size of a change, then a table with a row for each length of the list."""
     print_change_size()
     print(f"The endpoint list, by its length; {FLEET_GATEWAYS:,} gateways")
     print_header(
@@ -62,7 +65,7 @@
 
 
 def print_change_size() -> None:
-    """Print how many bytes a change and a heartbeat take on the watch."""
+    """Print the bytes that the change of one backend and a heartbeat take on the watch."""
     change = encode_snapshot_or_delta([encode_backend(1_000, "draining")], is_snapshot=False)
     line_size = len(change) + 1
     chunk_size = len(encode_chunk(change))
@@ -71,7 +74,7 @@
 
 
 def measure_list(count: int) -> tuple[object, ...]:
-    """Return the row of a list of so many backends."""
+    """Return the table row of a list of `count` backends."""
     entries = [encode_backend(number) for number in range(count)]
     list_json = encode_snapshot_or_delta(entries, is_snapshot=True).decode()
     parse_us = min_cpu_us(partial(parse_list, list_json), SLOW_WORK_RUNS)
@@ -97,7 +100,7 @@
 
 
 def encode_backend(number: int, health: str = "up") -> bytes:
-    """Return the entry of backend `number` as it goes on the wire."""
+    """Return the list entry of backend `number`, as discovery sends it."""
     entry = make_entry(
         f"s-{number:08x}",
         f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:6379",
@@ -109,18 +112,18 @@
 
 
 def encode_snapshot_or_delta(entries: list[bytes], *, is_snapshot: bool) -> bytes:
-    """Return the JSON line of a snapshot or of a change."""
+    """Return the JSON line of a snapshot or a delta, without the newline."""
     return encode_list(LIST_VERSION, entries, is_snapshot=is_snapshot)
 
 
 def parse_list(list_json: str) -> None:
-    """Parse a list as the endpoint watcher does, in parts."""
+    """Parse a list in parts of `ENDPOINTS_PER_TURN` entries, as the endpoint watcher does."""
     for hosts in iterate_array(list_json, "hosts", ENDPOINTS_PER_TURN, {}):
         parse_endpoints(hosts)
 
 
 def policy_with_list(endpoints: tuple[Endpoint, ...]) -> GatewayPolicy:
-    """Return a policy that has applied a complete list; a long one is ordered in several steps."""
+    """Return a policy that has applied a complete list; it orders a long one in several steps."""
     policy = GatewayPolicy(make_settings(gateways=FLEET_GATEWAYS), 1)
     actions = policy.handle(START_MS, snapshot_event(endpoints))
     while actions:
@@ -129,7 +132,7 @@
 
 
 async def measure_pool(endpoints: tuple[Endpoint, ...]) -> PoolCost:
-    """Return the memory that the pool takes for the backends, and the time of its periodic sweep."""
+    """Return the memory of a pool with these backends, and the processor time of its periodic sweep."""
     loop = asyncio.get_running_loop()
     pool = BackendPool(
         loop,
@@ -147,9 +150,10 @@
 
 
 def add_to_pool(pool: BackendPool, endpoints: tuple[Endpoint, ...]) -> list[None]:
-    """Enter the addresses of all backends into the pool.
+    """Add the addresses of all backends to the pool, and return a list with an entry for each.
 
-    The returned list counts as retained, with 8 bytes a backend: the figures of docs/CAPACITY.md include it.
+    The measured memory includes this list, which takes 8 bytes per backend; so do the figures of
+    docs/CAPACITY.md.
     """
     ready = EndpointState.READY
     return [
--- a/benchmarks/capacity_slopes/measurement.py
+++ b/benchmarks/capacity_slopes/measurement.py
@@ -1,4 +1,4 @@
-"""Processor time and memory of a piece of work."""
+"""Measurements of the processor time and memory that a function takes."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from collections.abc import Callable
 
 DEFAULT_RUNS = 5
-"""Runs of which the least time counts, because other load on the machine only adds to it."""
+"""Number of runs. Only the shortest counts, because other load on the machine can only add to the time."""
 
 
 def min_cpu_us(work: Callable[[], object], runs: int = DEFAULT_RUNS) -> float:
-    """Return the least processor time of several runs, in microseconds."""
+    """Return the minimum processor time of several runs of `work`, in microseconds."""
     times_ns = []
     for _ in range(runs):
         started_ns = time.process_time_ns()
@@ -22,7 +22,7 @@
 
 
 def retained_bytes(create: Callable[[], object]) -> int:
-    """Return the bytes that what `create` returns takes."""
+    """Return the bytes that `create` leaves allocated, those of its result included."""
     gc.collect()
     tracemalloc.start()
     created = create()
@@ -34,7 +34,7 @@
 
 
 def peak_memory_mb(work: Callable[[], object]) -> float:
-    """Return the peak memory allocated by the work, in MB of a million bytes."""
+    """Return the peak memory that `work` allocates, in MB of a million bytes."""
     tracemalloc.start()
     work()
     peak = tracemalloc.get_traced_memory()[1]
--- a/benchmarks/capacity_slopes/policies.py
+++ b/benchmarks/capacity_slopes/policies.py
@@ -1,4 +1,4 @@
-"""The policies that are measured: their settings, and the events that they handle."""
+"""The policies that the scenarios measure, their settings, and the events that they handle."""
 
 from __future__ import annotations
 
@@ -20,19 +20,22 @@
 from scale.gateway_configuration import settings_document
 
 START_MS = 1_790_000_000_000.0
-"""Time at the start, in Unix milliseconds; a real one, because the counter's names hold a period's number."""
+"""Start of the virtual time, in Unix milliseconds.
+
+It is a realistic date, because the names of the totals on the counter contain the number of a period.
+"""
 
 DEADLINE_MS = 2_500.0
-"""How long a client waits for its response."""
+"""Milliseconds that a client waits for the response."""
 
 SERVICE_TIME_MS = 50.0
-"""How long a backend takes for a request."""
+"""Milliseconds that a backend takes to serve a request."""
 
 BACKENDS_PER_CELL = 4
-"""Backends in one failure domain."""
+"""Number of backends in a cell, which is one failure domain."""
 
 REQUEST_ID = "0123456789abcdef"
-"""Id of requests that come one after another and can share it."""
+"""Id of requests that can share one, because each of them ends before the next arrives."""
 
 REQUEST_CLASS = "timetable-read"
 UNLIMITED_PLAN: dict[str, Any] = {"name": "free"}
@@ -50,7 +53,7 @@
 
 
 def metered_plan(rate: float, burst: float) -> dict[str, Any]:
-    """Return a plan of so many units a second, in the form of the settings document."""
+    """Return the settings-document entry of a plan; `rate` is in units per second, `burst` in units."""
     return {"name": "plan", "rate": rate, "mostAtOnce": burst, "overrunCost": 1.0}
 
 
@@ -61,7 +64,7 @@
     gateways: int = 1,
     counter_available: bool = False,
 ) -> Settings:
-    """Return the settings of gateway `index` of `gateways`, with one plan."""
+    """Return the settings of the gateway at `index` among `gateways`, with `plan` as the only plan."""
     document = settings_document(
         index,
         gateways,
@@ -76,14 +79,14 @@
 
 
 def make_policy(settings: Settings, *, backends: int, seed: int = 1) -> GatewayPolicy:
-    """Return a policy that has applied a list of so many backends."""
+    """Return a policy that has applied a list of `backends` ready backends."""
     policy = GatewayPolicy(settings, seed)
     policy.handle(START_MS, snapshot_event(make_endpoints(backends)))
     return policy
 
 
 def make_endpoints(count: int, started_at: float = 0.0) -> tuple[Endpoint, ...]:
-    """Return so many ready backends; `started_at` is in Unix milliseconds."""
+    """Return `count` ready backends; `started_at` is in Unix milliseconds."""
     ready = EndpointState.READY
     return tuple(
         Endpoint(
@@ -98,7 +101,7 @@
 
 
 def snapshot_event(endpoints: tuple[Endpoint, ...]) -> EndpointUpdate:
-    """Return the event of a complete list."""
+    """Return the event that delivers a complete endpoint list."""
     return EndpointUpdate(UpdateKind.SNAPSHOT, endpoints)
 
 
@@ -113,7 +116,7 @@
     gateway_set_size: int = 1,
     gateway_set_start: int = 0,
 ) -> RequestArrived:
-    """Return the event of a request that costs one unit."""
+    """Return the arrival of a request that costs one unit."""
     return RequestArrived(
         request_id=request_id,
         request_class=request_class,
@@ -129,7 +132,7 @@
 def success_event(
     backend_id: int, *, request_id: str = REQUEST_ID, duration_ms: float = SERVICE_TIME_MS
 ) -> AttemptEnded:
-    """Return the event of a first attempt that succeeded."""
+    """Return the successful end of a request's first attempt."""
     return AttemptEnded(
         request_id=request_id,
         attempt_number=0,
--- a/benchmarks/capacity_slopes/policy_internals.py
+++ b/benchmarks/capacity_slopes/policy_internals.py
@@ -1,4 +1,4 @@
-"""What the scenarios and their tests read and change inside a policy, in one place."""
+"""Access to the internals of a policy for the scenarios and their tests, all in one place."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def pending_counter_name_count(policy: GatewayPolicy) -> int:
-    """Return under how many names calls to the counter await a response."""
+    """Return how many names on the counter have calls that await a response."""
     return len(policy.counter.calls.by_name)
 
 
@@ -49,7 +49,7 @@
 
 
 def choose_backends(policy: GatewayPolicy, now: float, count: int) -> None:
-    """Choose a backend so many times, as for a request that has not been forwarded yet."""
+    """Choose a backend `count` times, each time as for a request that has not been forwarded yet."""
     pending = next(iter(policy.requests.values()))
     request = dataclasses.replace(pending, tried_backend_ids=set(), possibly_run_attempts=[])
     for _ in range(count):
--- a/benchmarks/capacity_slopes/virtual_fleet.py
+++ b/benchmarks/capacity_slopes/virtual_fleet.py
@@ -1,4 +1,7 @@
-"""Gateways in virtual time, with a counter that responds to each call and backends that always succeed."""
+"""Gateways in virtual time, with a counter that answers each call and backends that always succeed.
+
+The answer of the counter is a connection error while `VirtualFleet.is_counter_up` is false.
+"""
 
 from __future__ import annotations
 
@@ -15,16 +18,16 @@
 from .policies import SERVICE_TIME_MS, START_MS, arrival_event, make_policy, make_settings, success_event
 
 COUNTER_ONE_WAY_LATENCY_MS = 1.0
-"""Network latency to the counter, and again back."""
+"""Network latency between a gateway and the counter, in each direction."""
 
 BACKENDS = 8
 
 
 class VirtualFleet:
-    """Gateways, their customers and their counter, driven by one queue of callbacks."""
+    """Gateways, their customers and their counter, driven by one queue of timed callbacks."""
 
     def __init__(self, gateways: int, plan: dict[str, Any], seed: int = 1) -> None:
-        """`plan` is that of all customers, in the form of the settings document."""
+        """`plan` is the plan of all customers, as an entry of the settings document."""
         self.now = START_MS
         self.is_counter_up = True
         self.counts: Counter[str] = Counter()
@@ -43,7 +46,7 @@
         ]
 
     def run(self, seconds: float) -> None:
-        """Advance the virtual time, and run all callbacks that are due by then."""
+        """Advance the virtual time by `seconds`, and run all callbacks that are due by then."""
         end = self.now + seconds * 1000
         while self._queue and self._queue[0][0] <= end:
             self.now, _, callback = heapq.heappop(self._queue)
@@ -51,7 +54,10 @@
         self.now = end
 
     def add_customer(self, name: str, rate: float, gateways: list[int]) -> None:
-        """Add a customer that sends `rate` requests a second, to any of its gateways, from now on."""
+        """Add a customer that sends requests from now on, each to a random one of `gateways`.
+
+        The intervals are random; `rate` is the average number of requests per second.
+        """
         send = partial(self._send_request, name, rate, gateways)
         self._call_later(self._rng.expovariate(rate) * 1000, send)
 
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -1,8 +1,8 @@
-"""What each further customer, listed backend or counter call costs a gateway: the slopes of docs/CAPACITY.md.
+"""Measure the marginal cost of a customer, a listed backend and a counter call, for docs/CAPACITY.md.
 
     python benchmarks/slopes.py SCENARIO
 
-The scenarios are the modules of `capacity_slopes`, which lies beside this file.
+Each scenario is a module of the package `capacity_slopes` in the same directory.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class Scenario(NamedTuple):
-    """A scenario of the command line: its function, and what it measures."""
+    """A scenario: the function that runs it, and its description in the help of the command line."""
 
     run: Callable[[], None]
     description: str
@@ -45,7 +45,7 @@
 
 
 def main() -> None:
-    """Run the scenario that the command line names."""
+    """Run the scenario that is given on the command line."""
     parser = argparse.ArgumentParser(description=DESCRIPTION)
     scenarios = parser.add_subparsers(dest="scenario", metavar="SCENARIO", required=True)
     for name, scenario in SCENARIOS.items():
--- a/tests/scale/test_slopes.py
+++ b/tests/scale/test_slopes.py
@@ -1,4 +1,4 @@
-"""The scenarios behind docs/CAPACITY.md measure what they say."""
+"""Tests that the benchmarks behind docs/CAPACITY.md measure what their tables state."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 def thinly_spread_counts() -> dict[str, int]:
-    """Counts of a customer of 30 gateways that demands four times its quota, for 30 s."""
+    """Return the counts of 30 s in which a customer of 30 gateways demands four times its quota."""
     fleet = VirtualFleet(30, metered_plan(rate=2.0, burst=4.0))
     fleet.add_customer("0123456789abcdef", 8.0, list(range(30)))
     fleet.run(30)
@@ -50,7 +50,8 @@
     gateway.send_requests(range(50))
     gateway.search_idle_customers()
 
-    assert known_customer_count(gateway.policy) == 51  # with the customer that makes the search due
+    # The count includes the customer whose request triggers the search.
+    assert known_customer_count(gateway.policy) == 51
     assert open_request_count(gateway.policy) == 0
     assert pending_counter_name_count(gateway.policy) == 0
 
