--- a/benchmarks/capacity_slopes/backend_statistics.py
+++ b/benchmarks/capacity_slopes/backend_statistics.py
@@ -1,4 +1,4 @@
-"""Scenario `scores`: the memory of one backend's outlier scores, where each route is a request class."""
+"""Scenario `scores`: the memory of one backend's outlier scores, with a request class for each route."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from gateway.settings_document import parse_settings
 
 from .measurement import retained_bytes
-from .policies import START_MS, arrival, make_policy, make_settings, success
+from .policies import START_MS, arrival_event, make_policy, make_settings, success_event
 from .tables import print_header, print_row
 
 CLASS_COUNTS = (10, 1_000, 75_000)
@@ -19,7 +19,7 @@
 
 
 def run() -> None:
-    """Print a row for each number of request classes."""
+    """Print a table with a row for each number of request classes."""
     print("Outlier scores of one backend, by the number of request classes that it has served")
     print_header(
         "request classes",
@@ -30,9 +30,15 @@
     )
     for count in CLASS_COUNTS:
         document: dict[str, Any] = {"classes": [class_entry(number) for number in range(count)]}
-        size = retained_bytes(partial(policy_after_requests, count))
-        configured_size = retained_bytes(partial(configured_policy, document))
-        print_row(count, size, size // count, configured_size // count, len(json.dumps(document)) // count)
+        policy_bytes = retained_bytes(partial(policy_after_requests, count))
+        configured_policy_bytes = retained_bytes(partial(configured_policy, document))
+        print_row(
+            count,
+            policy_bytes,
+            policy_bytes // count,
+            configured_policy_bytes // count,
+            len(json.dumps(document)) // count,
+        )
 
 
 def policy_after_requests(class_count: int) -> GatewayPolicy:
@@ -40,20 +46,20 @@
     policy = make_policy(make_settings(), backends=1)
     for number in range(class_count):
         now = START_MS + number
-        for action in policy.handle(now, arrival(now, request_class=f"route-{number}")):
+        for action in policy.handle(now, arrival_event(now, request_class=f"route-{number}")):
             if isinstance(action, StartAttempt):
-                ended = success(action.backend_id, duration_ms=SERVICE_TIME_MS)
+                ended = success_event(action.backend_id, duration_ms=SERVICE_TIME_MS)
                 policy.handle(now + 0.5, ended)
     return policy
 
 
 def configured_policy(document: dict[str, Any]) -> GatewayPolicy:
-    """Return a policy with the settings of a document."""
+    """Return a policy with the settings of `document`."""
     return GatewayPolicy(parse_settings(document), 1)
 
 
 def class_entry(number: int) -> dict[str, Any]:
-    """Return a request class in the form of the settings document."""
+    """Return the settings-document entry of request class `number`."""
     return {
         "aim": 750.0,
         "deadline": 2500.0,
--- a/benchmarks/capacity_slopes/known_customers.py
+++ b/benchmarks/capacity_slopes/known_customers.py
@@ -1,4 +1,4 @@
-"""Scenario `customers`: a customer's memory and processor time at a gateway, by the known customers."""
+"""Scenario `customers`: the memory and processor time of a customer, by the number of known customers."""
 
 from __future__ import annotations
 
@@ -16,35 +16,34 @@
     REQUEST_ID,
     SERVICE_TIME_MS,
     START_MS,
-    arrival,
+    arrival_event,
     make_policy,
     make_settings,
     metered_plan,
 )
-from .policy_internals import make_cleanup_due, postpone_cleanup
+from .policy_internals import make_idle_search_due, postpone_idle_search
 from .tables import print_header, print_row
 
-RATE = 12.0
-"""Quota of the plan, in units a second."""
-
+PLAN_RATE = 12.0
+"""Quota of a customer, in units per second."""
 
 CUSTOMER_COUNTS = (1_000, 10_000, 100_000)
 
 SAMPLE_SIZE = 2_000
-"""Customers whose requests are timed, about."""
+"""Approximate number of customers whose requests are timed."""
 
 BACKENDS = 8
 REQUEST_INTERVAL_MS = 1_000.0
 
 EARLIER_USAGE = 6.0
-"""Units that the counter already has: about half of what the period has accrued.
+"""Units in the counter's total before a call: about half of the units that accrued in the period.
 
-A total without earlier usage would be taken for that of a new period.
+A total without earlier usage would be taken for the total of a new period.
 """
 
 
 class QuotaCase(NamedTuple):
-    """How a customer's quota is held, which depends on its burst and on its gateways."""
+    """Burst and number of gateways of a customer: they decide between local leases and a shared bucket."""
 
     burst: int
     gateways_per_customer: int
@@ -55,12 +54,12 @@
 QUOTA_CASES = (LOCAL_LEASES, SHARED_BUCKETS)
 
 
-class KnownCustomers:
-    """A gateway that has served so many customers."""
+class GatewayWithKnownCustomers:
+    """A gateway that has served a request of each of `count` customers."""
 
     def __init__(self, count: int, quota: QuotaCase, *, counter_available: bool) -> None:
         settings = make_settings(
-            metered_plan(RATE, quota.burst),
+            metered_plan(PLAN_RATE, quota.burst),
             gateways=quota.gateways_per_customer,
             counter_available=counter_available,
         )
@@ -70,11 +69,11 @@
         self.send_requests(range(count))
 
     def send_requests(self, customers: Iterable[int]) -> None:
-        """Send a request of each, a second after the last; counter calls get their responses."""
+        """Send a request of each customer, a second after the previous ones, and answer all counter calls."""
         self._now += REQUEST_INTERVAL_MS
-        postpone_cleanup(self.policy, self._now)
+        postpone_idle_search(self.policy, self._now)
         for customer in customers:
-            # Created here: a builder's call would be timed as well.
+            # A call of `arrival_event` would be timed too.
             arrived = RequestArrived(
                 request_id=REQUEST_ID,
                 request_class=REQUEST_CLASS,
@@ -94,16 +93,16 @@
                     ended = AttemptEnded(REQUEST_ID, 0, action.backend_id, Outcome.OK, SERVICE_TIME_MS, True)
                     self.policy.handle(self._now + 0.001, ended)
 
-    def search_idle(self) -> None:
-        """Send a request at whose arrival the search for idle customers is due; none is idle."""
-        make_cleanup_due(self.policy)
-        unknown = arrival(self._now, customer="", timeout_ms=1.0)
-        self.policy.handle(self._now, unknown)
+    def search_idle_customers(self) -> None:
+        """Send a request whose arrival triggers the search for idle customers; none is idle."""
+        make_idle_search_due(self.policy)
+        arrived = arrival_event(self._now, customer="", timeout_ms=1.0)
+        self.policy.handle(self._now, arrived)
         self.policy.handle(self._now, ClientDisconnected(REQUEST_ID))
 
 
 def run() -> None:
-    """Print a row for each kind of quota and number of customers."""
+    """Print a table with a row for each quota case and number of customers."""
     print("Known customers of a gateway: local leases (burst 40) and shared buckets (burst 2)")
     print_header(
         "burst, units",
@@ -116,17 +115,17 @@
     )
     for quota in QUOTA_CASES:
         for count in CUSTOMER_COUNTS:
-            print_row(*quota, *measure(count, quota))
+            print_row(*quota, *measure_customers(count, quota))
 
 
-def measure(count: int, quota: QuotaCase) -> tuple[object, ...]:
-    """Return the number of customers, and the memory and processor time of each."""
-    create = partial(KnownCustomers, count, quota)
-    size = retained_bytes(partial(create, counter_available=False)) // count
-    without_counter = create(counter_available=False)
-    with_counter = create(counter_available=True)
+def measure_customers(count: int, quota: QuotaCase) -> tuple[object, ...]:
+    """Return `count`, the bytes per customer, and the processor times of a request and of the idle search."""
+    create_gateway = partial(GatewayWithKnownCustomers, count, quota)
+    bytes_per_customer = retained_bytes(partial(create_gateway, counter_available=False)) // count
+    without_counter = create_gateway(counter_available=False)
+    with_counter = create_gateway(counter_available=True)
     sample = range(0, count, max(1, count // SAMPLE_SIZE))
     request_us = min_cpu_us(partial(without_counter.send_requests, sample)) / len(sample)
     counted_request_us = min_cpu_us(partial(with_counter.send_requests, sample)) / len(sample)
-    search_us = min_cpu_us(without_counter.search_idle) / count
-    return count, size, request_us, counted_request_us, search_us
+    search_us = min_cpu_us(without_counter.search_idle_customers) / count
+    return count, bytes_per_customer, request_us, counted_request_us, search_us
--- a/benchmarks/capacity_slopes/listed_backends.py
+++ b/benchmarks/capacity_slopes/listed_backends.py
@@ -1,4 +1,7 @@
-"""Scenario `entry`: a listed backend on the wire, in the policy and in the pool, and a change of one."""
+"""Scenario `entry`: the cost of a listed backend on the wire, in the policy and in the pool.
+
+The change of one backend is measured too.
+"""
 
 from __future__ import annotations
 
@@ -18,15 +21,15 @@
 from scale.fakes.discovery import HEARTBEAT, HEARTBEAT_INTERVAL_S, encode_chunk
 from scale.fakes.endpoint_list import encode_entry, encode_list, make_entry
 
-from .measurement import min_cpu_us, peak_mb, retained_bytes
-from .policies import BACKENDS_PER_CELL, START_MS, make_endpoints, make_settings, snapshot
+from .measurement import min_cpu_us, peak_memory_mb, retained_bytes
+from .policies import BACKENDS_PER_CELL, START_MS, make_endpoints, make_settings, snapshot_event
 from .tables import print_header, print_row
 
 FLEET_GATEWAYS = 3_700
 LIST_SIZES = (1_000, 10_000, 39_000)
 LIST_VERSION = 1_000_000
-SLOW_RUNS = 3
-"""Repeats of work that takes long."""
+SLOW_WORK_RUNS = 3
+"""Number of runs of work that takes long."""
 
 CONNECT_TIMEOUT_MS = 250.0
 KEEPALIVE_MS = 15_000.0
@@ -36,14 +39,14 @@
 
 
 class PoolCost(NamedTuple):
-    """What an endpoint list costs the pool: bytes of memory, and the time of one sweep."""
+    """Cost of an endpoint list in the pool: its memory, and the processor time of one sweep."""
 
-    size: int
+    memory_bytes: int
     sweep_us: float
 
 
 def run() -> None:
-    """Print the size of a change, then a row for each length of the list."""
+    """Print the size of a change, then a table with a row for each length of the list."""
     print_change_size()
     print(f"The endpoint list, by its length; {FLEET_GATEWAYS:,} gateways")
     print_header(
@@ -58,46 +61,46 @@
         "ms per sweep of the pool",
     )
     for count in LIST_SIZES:
-        print_row(*measure(count))
+        print_row(*measure_list(count))
 
 
 def print_change_size() -> None:
-    """Print how many bytes a change and a heartbeat take on the watch."""
-    change = encode_snapshot_or_change([encoded_backend(1_000, "draining")], is_snapshot=False)
+    """Print the bytes that the change of one backend and a heartbeat take on the watch."""
+    change = encode_snapshot_or_delta([encode_backend(1_000, "draining")], is_snapshot=False)
     line_size = len(change) + 1
     chunk_size = len(encode_chunk(change))
     print(f"One change on the watch: {line_size} bytes, {chunk_size} with its chunk framing;")
     print(f"a heartbeat: {len(HEARTBEAT)} bytes with its chunk framing, every {HEARTBEAT_INTERVAL_S:g} s")
 
 
-def measure(count: int) -> tuple[object, ...]:
-    """Return the row of a list of so many backends."""
-    entries = [encoded_backend(number) for number in range(count)]
-    text = encode_snapshot_or_change(entries, is_snapshot=True).decode()
-    parse_us = min_cpu_us(partial(parse_list, text), SLOW_RUNS)
-    parse_peak_mb = peak_mb(partial(parse_list, text))
+def measure_list(count: int) -> tuple[object, ...]:
+    """Return the table row of a list of `count` backends."""
+    entries = [encode_backend(number) for number in range(count)]
+    list_json = encode_snapshot_or_delta(entries, is_snapshot=True).decode()
+    parse_us = min_cpu_us(partial(parse_list, list_json), SLOW_WORK_RUNS)
+    parse_peak_mb = peak_memory_mb(partial(parse_list, list_json))
     endpoints = make_endpoints(count)
     create_policy = partial(policy_with_list, endpoints)
-    apply_us = min_cpu_us(create_policy, SLOW_RUNS)
+    apply_us = min_cpu_us(create_policy, SLOW_WORK_RUNS)
     one_change = EndpointUpdate(UpdateKind.DELTA, make_endpoints(1, started_at=START_MS))
     change_us = min_cpu_us(partial(create_policy().handle, START_MS, one_change))
     pool = asyncio.run(measure_pool(endpoints))
-    size = (retained_bytes(create_policy) + pool.size) // count
+    bytes_per_backend = (retained_bytes(create_policy) + pool.memory_bytes) // count
     return (
         count,
-        len(text),
-        len(text) // count,
+        len(list_json),
+        len(list_json) // count,
         parse_us / 1000,
         parse_peak_mb,
         apply_us / 1000,
-        size,
+        bytes_per_backend,
         change_us / 1000,
         pool.sweep_us / 1000,
     )
 
 
-def encoded_backend(number: int, health: str = "up") -> bytes:
-    """Return the entry of backend `number` as it goes on the wire."""
+def encode_backend(number: int, health: str = "up") -> bytes:
+    """Return the list entry of backend `number`, as discovery sends it."""
     entry = make_entry(
         f"s-{number:08x}",
         f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:6379",
@@ -108,28 +111,28 @@
     return encode_entry(entry)
 
 
-def encode_snapshot_or_change(entries: list[bytes], *, is_snapshot: bool) -> bytes:
-    """Return the JSON line of a snapshot or of a change."""
+def encode_snapshot_or_delta(entries: list[bytes], *, is_snapshot: bool) -> bytes:
+    """Return the JSON line of a snapshot or a delta, without the newline."""
     return encode_list(LIST_VERSION, entries, is_snapshot=is_snapshot)
 
 
-def parse_list(text: str) -> None:
-    """Parse a list as the endpoint watcher does, in parts."""
-    for hosts in iterate_array(text, "hosts", ENDPOINTS_PER_TURN, {}):
+def parse_list(list_json: str) -> None:
+    """Parse a list in parts of `ENDPOINTS_PER_TURN` entries, as the endpoint watcher does."""
+    for hosts in iterate_array(list_json, "hosts", ENDPOINTS_PER_TURN, {}):
         parse_endpoints(hosts)
 
 
 def policy_with_list(endpoints: tuple[Endpoint, ...]) -> GatewayPolicy:
-    """Return a policy that has applied a complete list; a long one is ordered in several steps."""
+    """Return a policy that has applied a complete list; it orders a long one in several steps."""
     policy = GatewayPolicy(make_settings(gateways=FLEET_GATEWAYS), 1)
-    actions = policy.handle(START_MS, snapshot(endpoints))
+    actions = policy.handle(START_MS, snapshot_event(endpoints))
     while actions:
         actions = policy.handle(START_MS, TimerFired(TimerToken(TimerKind.REBUILD_SUBSET)))
     return policy
 
 
 async def measure_pool(endpoints: tuple[Endpoint, ...]) -> PoolCost:
-    """Return the memory that the pool takes for the backends, and the time of its periodic sweep."""
+    """Return the memory of a pool with these backends, and the processor time of its periodic sweep."""
     loop = asyncio.get_running_loop()
     pool = BackendPool(
         loop,
@@ -140,16 +143,17 @@
         max_connections=MAX_CONNECTIONS,
         max_buffered_bytes=MAX_REPLY_BYTES,
     )
-    size = retained_bytes(partial(add_to_pool, pool, endpoints))
+    memory_bytes = retained_bytes(partial(add_to_pool, pool, endpoints))
     sweep_us = min_cpu_us(pool.sweep)
     pool.close()
-    return PoolCost(size, sweep_us)
+    return PoolCost(memory_bytes, sweep_us)
 
 
 def add_to_pool(pool: BackendPool, endpoints: tuple[Endpoint, ...]) -> list[None]:
-    """Enter the addresses of all backends into the pool.
+    """Add the addresses of all backends to the pool, and return a list with an entry for each.
 
-    The returned list counts as retained, with 8 bytes a backend: the figures of docs/CAPACITY.md include it.
+    The measured memory includes this list, which takes 8 bytes per backend; so do the figures of
+    docs/CAPACITY.md.
     """
     ready = EndpointState.READY
     return [
--- a/benchmarks/capacity_slopes/virtual_fleet.py
+++ b/benchmarks/capacity_slopes/virtual_fleet.py
@@ -1,4 +1,7 @@
-"""Gateways in virtual time, with a counter that responds to each call and backends that always succeed."""
+"""Gateways in virtual time, with a counter that answers each call and backends that always succeed.
+
+The answer of the counter is a connection error while `VirtualFleet.is_counter_up` is false.
+"""
 
 from __future__ import annotations
 
@@ -12,19 +15,19 @@
 from gateway.policy.actions import IncrementCounter, SetTimer, StartAttempt
 from gateway.policy.events import CounterResponse, Event, Outcome, TimerFired
 
-from .policies import SERVICE_TIME_MS, START_MS, arrival, make_policy, make_settings, success
+from .policies import SERVICE_TIME_MS, START_MS, arrival_event, make_policy, make_settings, success_event
 
-COUNTER_ONE_WAY_MS = 1.0
-"""Network latency to the counter, and again back."""
+COUNTER_ONE_WAY_LATENCY_MS = 1.0
+"""Network latency between a gateway and the counter, in each direction."""
 
 BACKENDS = 8
 
 
 class VirtualFleet:
-    """Gateways, their customers and their counter, driven by one queue of callbacks."""
+    """Gateways, their customers and their counter, driven by one queue of timed callbacks."""
 
     def __init__(self, gateways: int, plan: dict[str, Any], seed: int = 1) -> None:
-        """`plan` is that of all customers, in the form of the settings document."""
+        """`plan` is the plan of all customers, as an entry of the settings document."""
         self.now = START_MS
         self.is_counter_up = True
         self.counts: Counter[str] = Counter()
@@ -43,7 +46,7 @@
         ]
 
     def run(self, seconds: float) -> None:
-        """Advance the virtual time, and run all callbacks that are due by then."""
+        """Advance the virtual time by `seconds`, and run all callbacks that are due by then."""
         end = self.now + seconds * 1000
         while self._queue and self._queue[0][0] <= end:
             self.now, _, callback = heapq.heappop(self._queue)
@@ -51,7 +54,10 @@
         self.now = end
 
     def add_customer(self, name: str, rate: float, gateways: list[int]) -> None:
-        """Add a customer that sends `rate` requests a second, to any of its gateways, from now on."""
+        """Add a customer that sends requests from now on, each to a random one of `gateways`.
+
+        The intervals are random; `rate` is the average number of requests per second.
+        """
         send = partial(self._send_request, name, rate, gateways)
         self._call_later(self._rng.expovariate(rate) * 1000, send)
 
@@ -60,13 +66,13 @@
         self._call_later(self._rng.expovariate(rate) * 1000, send_next)
         self._last_serial += 1
         self.counts["requests"] += 1
-        event = arrival(
+        event = arrival_event(
             self.now,
             request_id=f"{self._last_serial:016x}",
             plan=self._plan_name,
             customer=customer,
-            set_size=len(gateways),
-            set_start=gateways[0],
+            gateway_set_size=len(gateways),
+            gateway_set_start=gateways[0],
         )
         self._deliver(self._rng.choice(gateways), event)
 
@@ -81,10 +87,10 @@
                     self._call_later(delay_ms, partial(self._deliver, index, TimerFired(token)))
                 case IncrementCounter(name, amount, expire_in_ms):
                     reply = self._increment(name, amount, expire_in_ms)
-                    self._call_later(2 * COUNTER_ONE_WAY_MS, partial(self._deliver, index, reply))
+                    self._call_later(2 * COUNTER_ONE_WAY_LATENCY_MS, partial(self._deliver, index, reply))
                 case StartAttempt(request_id, backend_id):
                     self.counts["forwarded"] += 1
-                    ended = success(backend_id, request_id=request_id)
+                    ended = success_event(backend_id, request_id=request_id)
                     self._call_later(SERVICE_TIME_MS, partial(self._deliver, index, ended))
 
     def _increment(self, name: str, amount: float, expire_in_ms: float) -> CounterResponse:
