--- a/gateway/network/counter/channel.py
+++ b/gateway/network/counter/channel.py
@@ -32,47 +32,47 @@
         """`on_connection_failed` is called for each connection that is closed after a fault."""
         self.address = address
         self.connection: CounterConnection | None = None
-        self.draining: set[CounterConnection] = set()
+        self.draining_connections: set[CounterConnection] = set()
         """Connections to earlier addresses with unanswered calls."""
-        self.unwritten: list[CounterCall] = []
+        self.unwritten_calls: list[CounterCall] = []
         """Calls that wait for a connection or for the end of this turn of the event loop."""
-        self.connecting: asyncio.Task[None] | None = None
+        self.connect_task: asyncio.Task[None] | None = None
         self.is_flush_scheduled = False
         self._loop = loop
         self._connect_timeout_ms = connect_timeout_ms
         self._on_connection_failed = on_connection_failed
 
-    def add(self, call: CounterCall) -> None:
+    def enqueue(self, call: CounterCall) -> None:
         """Write a call at the end of this turn of the event loop, or once there is a connection."""
-        self.unwritten.append(call)
+        self.unwritten_calls.append(call)
         if not self.is_flush_scheduled:
             self.is_flush_scheduled = True
             self._loop.call_soon(self._flush)
 
-    def expire(self, call: CounterCall) -> None:
+    def time_out(self, call: CounterCall) -> None:
         """Time out a call. One that was not written added nothing and ends as a connect error."""
-        is_written = call not in self.unwritten
+        is_written = call not in self.unwritten_calls
         call.complete(CounterResult(Outcome.TIMED_OUT if is_written else Outcome.CONNECT_ERROR))
 
     def move_to(self, address: Address) -> None:
         """Use another address for unwritten calls; outstanding responses of the old one are still read."""
         self.address = address
-        if self.connecting is not None:
-            self.connecting.cancel()
-            self.connecting = None
+        if self.connect_task is not None:
+            self.connect_task.cancel()
+            self.connect_task = None
         self._drain_connection()
         self._flush()
 
     def close(self) -> None:
         """Close the connection to the current address; its unanswered calls time out."""
-        if self.connecting is not None:
-            self.connecting.cancel()
+        if self.connect_task is not None:
+            self.connect_task.cancel()
         if self.connection is not None:
             self.connection.close()
 
-    def close_draining(self) -> None:
+    def close_draining_connections(self) -> None:
         """Close the connections to earlier addresses; their unanswered calls time out."""
-        for connection in list(self.draining):
+        for connection in list(self.draining_connections):
             connection.close()
 
     def _drain_connection(self) -> None:
@@ -81,42 +81,44 @@
         self.connection = None
         if connection is None or connection.is_closed:
             return
-        if connection.unanswered:
-            self.draining.add(connection)
+        if connection.unanswered_calls:
+            self.draining_connections.add(connection)
         else:
             connection.close()
 
     def _flush(self) -> None:
         self.is_flush_scheduled = False
-        self.unwritten = [call for call in self.unwritten if call.result is None]
-        if not self.unwritten:
+        self.unwritten_calls = [call for call in self.unwritten_calls if call.result is None]
+        if not self.unwritten_calls:
             return
         connection = self.connection
         if connection is not None and not connection.is_closed:
             connection.close_if_unusable()
         if connection is None or connection.is_closed:
-            if self.connecting is None:
-                self.connecting = self._loop.create_task(self._connect())
+            if self.connect_task is None:
+                self.connect_task = self._loop.create_task(self._connect())
             return
-        calls = self.unwritten
-        self.unwritten = []
+        calls = self.unwritten_calls
+        self.unwritten_calls = []
         connection.write(calls)
 
     async def _connect(self) -> None:
         host, port = self.address
-        create = partial(CounterConnection, self._on_connection_failed, self.draining.discard)
+        create_protocol = partial(
+            CounterConnection, self._on_connection_failed, self.draining_connections.discard
+        )
         try:
             async with asyncio.timeout(self._connect_timeout_ms / MS_PER_S):
-                _, self.connection = await self._loop.create_connection(create, host, port)
+                _, self.connection = await self._loop.create_connection(create_protocol, host, port)
         except OSError:  # also TimeoutError
-            self._fail_unwritten()
+            self._fail_unwritten_calls()
         finally:
-            self.connecting = None
+            self.connect_task = None
         self._flush()
 
-    def _fail_unwritten(self) -> None:
+    def _fail_unwritten_calls(self) -> None:
         """End the calls that are not written as connect errors: they added nothing."""
-        calls = self.unwritten
-        self.unwritten = []
+        calls = self.unwritten_calls
+        self.unwritten_calls = []
         for call in calls:
             call.complete(CounterResult(Outcome.CONNECT_ERROR))
--- a/gateway/network/counter/client.py
+++ b/gateway/network/counter/client.py
@@ -21,7 +21,7 @@
 CHANNEL_COUNT = 4
 """Connections to the counter. A response that is late delays only those behind it on its connection."""
 
-SUMMARY_INTERVAL_MS = 1_000.0
+FAILURE_LOG_INTERVAL_MS = 1_000.0
 """Least time, in milliseconds, between two log lines about connections closed after a fault."""
 
 
@@ -44,8 +44,8 @@
         """Calls whose response has not been reported, by name, the oldest first."""
         self._timers = timers
         self._call_timeout_ms = call_timeout_ms
-        self._close_reasons: Counter[CloseReason] = Counter()
-        timers.call_at(now_ms() + SUMMARY_INTERVAL_MS, self._log_failures)
+        self._failure_counts: Counter[CloseReason] = Counter()
+        timers.call_at(now_ms() + FAILURE_LOG_INTERVAL_MS, self._log_failures)
 
     def move_to(self, address: Address) -> None:
         """Use another address from now on; outstanding responses of the old one are still read."""
@@ -55,29 +55,27 @@
         for channel in self.channels:
             channel.move_to(address)
 
-    def increment(
-        self, name: str, amount: float, expires_in_ms: float, on_response: ResponseCallback
-    ) -> None:
-        """Add to the total of a name, which expires after `expires_in_ms`; 0 reads it.
+    def increment(self, name: str, amount: float, ttl_ms: float, on_response: ResponseCallback) -> None:
+        """Add to the total of a name, which expires after `ttl_ms`; 0 reads it.
 
         The callback gets TIMED_OUT where the amount may have been added, CONNECT_ERROR and QUEUE_FULL
         where it was not.
         """
         encoded_name = name.encode()
-        line = encode_increment(encoded_name, amount, expires_in_ms)
+        line = encode_increment(encoded_name, amount, ttl_ms)
         call = CounterCall(name, line, on_response, self._report_completed_calls)
         self.unreported_calls.setdefault(name, deque()).append(call)
         channel = self.channels[zlib.crc32(encoded_name) % len(self.channels)]
-        channel.add(call)
-        expires_at = now_ms() + self._call_timeout_ms
-        call.set_timeout_timer(self._timers.call_at(expires_at, partial(channel.expire, call)))
+        channel.enqueue(call)
+        timeout_at = now_ms() + self._call_timeout_ms
+        call.set_timeout_timer(self._timers.call_at(timeout_at, partial(channel.time_out, call)))
 
     def close(self) -> None:
         """Close all connections; unanswered calls time out."""
         for channel in self.channels:
             channel.close()
         for channel in self.channels:
-            channel.close_draining()
+            channel.close_draining_connections()
 
     def _report_completed_calls(self, name: str) -> None:
         """Report the outcomes of a name's calls in the order of the calls.
@@ -93,15 +91,15 @@
             self.unreported_calls.pop(name, None)
 
     def _count_failure(self, reason: CloseReason) -> None:
-        self._close_reasons[reason] += 1
+        self._failure_counts[reason] += 1
 
     def _log_failures(self) -> None:
-        if self._close_reasons:
-            reasons = ", ".join(f"{reason.value}: {count}" for reason, count in self._close_reasons.items())
+        if self._failure_counts:
+            reasons = ", ".join(f"{reason.value}: {count}" for reason, count in self._failure_counts.items())
             log.warning(
                 "connections to the counter at %s closed (%s); their unanswered calls count as timed out",
                 self.address,
                 reasons,
             )
-            self._close_reasons.clear()
-        self._timers.call_at(now_ms() + SUMMARY_INTERVAL_MS, self._log_failures)
+            self._failure_counts.clear()
+        self._timers.call_at(now_ms() + FAILURE_LOG_INTERVAL_MS, self._log_failures)
--- a/gateway/network/counter/connection.py
+++ b/gateway/network/counter/connection.py
@@ -17,7 +17,7 @@
 INACTIVITY_TIMEOUT_MS = 300.0
 """Longest time, in milliseconds, without a byte on a connection with unanswered calls before it is closed."""
 
-IDLE_CLOSE_MS = 3_000.0
+MAX_IDLE_MS = 3_000.0
 """Idle time, in milliseconds, after which a connection is not used again: the counter may be closing it."""
 
 MAX_UNANSWERED_CALLS = 1_000
@@ -43,16 +43,16 @@
     def __init__(
         self,
         on_failed: Callable[[CloseReason], None],
-        on_lost: Callable[[CounterConnection], None],
+        on_closed: Callable[[CounterConnection], None],
     ) -> None:
-        """`on_failed` is called before this connection closes after a fault, `on_lost` once it is closed."""
+        """`on_failed` is called before the connection closes after a fault, `on_closed` once it is closed."""
         self.transport: asyncio.Transport | None = None
-        self.unanswered: deque[CounterCall] = deque()
+        self.unanswered_calls: deque[CounterCall] = deque()
         self.is_closed = False
         self.last_received_at = now_ms()
         self.last_written_at = self.last_received_at
         self._on_failed = on_failed
-        self._on_lost = on_lost
+        self._on_closed = on_closed
         self._partial_line = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -63,21 +63,21 @@
         """Write the calls; their responses arrive in this order."""
         assert self.transport is not None
         now = now_ms()
-        if not self.unanswered:
+        if not self.unanswered_calls:
             self.last_received_at = now
         self.last_written_at = now
-        self.unanswered.extend(calls)
+        self.unanswered_calls.extend(calls)
         self.transport.write(b"".join(call.request_line for call in calls))
 
     def close_if_unusable(self) -> None:
         """Close a connection that is unresponsive, has too many unanswered calls or was idle too long."""
         now = now_ms()
         # A peer that was cut off sends neither FIN nor RST: only the missing responses show it.
-        if self.unanswered and now - self.last_received_at > INACTIVITY_TIMEOUT_MS:
+        if self.unanswered_calls and now - self.last_received_at > INACTIVITY_TIMEOUT_MS:
             self.fail(CloseReason.UNRESPONSIVE)
-        elif len(self.unanswered) >= MAX_UNANSWERED_CALLS:
+        elif len(self.unanswered_calls) >= MAX_UNANSWERED_CALLS:
             self.fail(CloseReason.TOO_MANY_UNANSWERED)
-        elif not self.unanswered and now - self.last_written_at > IDLE_CLOSE_MS:
+        elif not self.unanswered_calls and now - self.last_written_at > MAX_IDLE_MS:
             self.close()
 
     def data_received(self, data: bytes) -> None:
@@ -87,7 +87,7 @@
         for line in lines:
             if self.is_closed:
                 return
-            if not self.unanswered:
+            if not self.unanswered_calls:
                 self.fail(CloseReason.UNSOLICITED_RESPONSE)
                 return
             result = parse_response(line)
@@ -96,7 +96,7 @@
                 self.fail(CloseReason.MALFORMED_RESPONSE)
                 return
             # A call that has timed out keeps its place, so that its late response is not taken for another's.
-            self.unanswered.popleft().complete(result)
+            self.unanswered_calls.popleft().complete(result)
         if len(self._partial_line) > MAX_LINE_BYTES:
             self.fail(CloseReason.LINE_TOO_LONG)
 
@@ -114,16 +114,16 @@
         self.is_closed = True
         if self.transport is not None:
             self.transport.abort()
-        self._time_out_unanswered()
+        self._time_out_unanswered_calls()
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio's signature
         """Time out the calls that are unanswered as the counter closes the connection."""
         self.is_closed = True
-        self._on_lost(self)
-        self._time_out_unanswered()
+        self._on_closed(self)
+        self._time_out_unanswered_calls()
 
-    def _time_out_unanswered(self) -> None:
-        calls = self.unanswered
-        self.unanswered = deque()
+    def _time_out_unanswered_calls(self) -> None:
+        calls = self.unanswered_calls
+        self.unanswered_calls = deque()
         for call in calls:
             call.complete(CounterResult(Outcome.TIMED_OUT))  # its amount may have been added
--- a/gateway/network/counter/protocol.py
+++ b/gateway/network/counter/protocol.py
@@ -43,9 +43,9 @@
     total: float = 0.0
 
 
-def encode_increment(name: bytes, amount: float, expires_in_ms: float) -> bytes:
-    """Return the call that adds `amount` to a name; the counter deletes a name after `expires_in_ms`."""
-    return INCREMENT_FORMAT % (name, amount, max(MIN_TTL_MS, int(expires_in_ms)))
+def encode_increment(name: bytes, amount: float, ttl_ms: float) -> bytes:
+    """Return the call that adds `amount` to a name; the counter deletes a name after `ttl_ms`."""
+    return INCREMENT_FORMAT % (name, amount, max(MIN_TTL_MS, int(ttl_ms)))
 
 
 def parse_response(line: bytes) -> CounterResult | None:
--- a/tests/network/counter/test_counter_client.py
+++ b/tests/network/counter/test_counter_client.py
@@ -44,7 +44,9 @@
 
 
 @asynccontextmanager
-async def client_of(server: FakeCounter, call_timeout_ms: float = 2_000.0) -> AsyncIterator[RecordingClient]:
+async def running_client(
+    server: FakeCounter, call_timeout_ms: float = 2_000.0
+) -> AsyncIterator[RecordingClient]:
     """Start the server and a client of it."""
     loop = asyncio.get_running_loop()
     await server.start()
@@ -62,7 +64,7 @@
 @runs_in_loop
 async def test_totals_are_reported_in_the_order_of_the_calls() -> None:
     server = FakeCounter()
-    async with client_of(server) as client:
+    async with running_client(server) as client:
         for amount in (1.0, 2.5, -0.5):
             client.increment(amount=amount)
 
@@ -75,7 +77,7 @@
 @runs_in_loop
 async def test_call_carries_name_amount_and_time_to_live() -> None:
     server = FakeCounter()
-    async with client_of(server) as client:
+    async with running_client(server) as client:
         client.increment("n", 2.5)
 
         await client.wait_for_responses(1)
@@ -104,7 +106,7 @@
 
 @runs_in_loop
 async def test_rejected_call_added_nothing() -> None:
-    async with client_of(FakeCounter(always(b"busy\r\n"))) as client:
+    async with running_client(FakeCounter(always(b"busy\r\n"))) as client:
         client.increment()
 
         assert await client.wait_for_responses(1) == [("n", Outcome.QUEUE_FULL, 0.0)]
@@ -121,7 +123,7 @@
             return b"ok 111\r\n"
         return b"ok 222\r\n"
 
-    async with client_of(FakeCounter(respond_late_to_first), call_timeout_ms=300.0) as client:
+    async with running_client(FakeCounter(respond_late_to_first), call_timeout_ms=300.0) as client:
         client.increment(amount=1.0)
         assert await client.wait_for_responses(1) == [("n", Outcome.TIMED_OUT, 0.0)]
 
@@ -149,7 +151,7 @@
 @runs_in_loop
 async def test_call_that_cannot_connect_added_nothing() -> None:
     server = FakeCounter()
-    async with client_of(server) as client:
+    async with running_client(server) as client:
         server.server.close()
 
         client.increment()
@@ -160,7 +162,7 @@
 @runs_in_loop
 async def test_call_after_a_failed_connect_connects_anew() -> None:
     server = FakeCounter()
-    async with client_of(server) as client:
+    async with running_client(server) as client:
         server.server.close()
         client.increment()
         assert await client.wait_for_responses(1) == [("n", Outcome.CONNECT_ERROR, 0.0)]
@@ -176,7 +178,7 @@
 
 @runs_in_loop
 async def test_call_whose_connection_is_lost_may_have_added() -> None:
-    async with client_of(FakeCounter(always(b""))) as client:
+    async with running_client(FakeCounter(always(b""))) as client:
         client.increment()
 
         assert await client.wait_for_responses(1) == [("n", Outcome.TIMED_OUT, 0.0)]
@@ -187,7 +189,7 @@
     """The connections of a host that was cut off stay open and never receive anything."""
     monkeypatch.setattr(counter_connection, "INACTIVITY_TIMEOUT_MS", 50.0)
     server = FakeCounter(always(None))
-    async with client_of(server, call_timeout_ms=100.0) as client:
+    async with running_client(server, call_timeout_ms=100.0) as client:
         client.increment()
         await client.wait_for_responses(1)
 
@@ -207,7 +209,7 @@
         return b"ok \r\nok 999\r\n" if fields[1] == b"malformed" else b"ok 7\r\n"
 
     server = FakeCounter(script)
-    async with client_of(server) as client:
+    async with running_client(server) as client:
         client.client.channels[1:] = [client.client.channels[0]] * 3
         client.increment("malformed")
         client.increment("behind")
@@ -227,9 +229,9 @@
 async def test_log_names_the_counter_and_the_reason_of_a_closed_connection(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    monkeypatch.setattr(counter_client, "SUMMARY_INTERVAL_MS", 5.0)
+    monkeypatch.setattr(counter_client, "FAILURE_LOG_INTERVAL_MS", 5.0)
     server = FakeCounter(always(b"what\r\n"))
-    async with client_of(server) as client:
+    async with running_client(server) as client:
         client.increment()
 
         await wait_until(lambda: caplog.records)
@@ -255,7 +257,7 @@
     old = FakeCounter(respond_late)
     new = FakeCounter(always(b"ok 222\r\n"))
     await new.start()
-    async with client_of(old) as client:
+    async with running_client(old) as client:
         client.increment("n")
         await wait_until(lambda: old.received)
 
@@ -271,7 +273,7 @@
         assert responses[1:] == [("n", Outcome.OK, 111.0), ("n", Outcome.OK, 222.0)]
         assert not client.client.unreported_calls
         old.close_connections()
-        await wait_until(lambda: not any(channel.draining for channel in client.client.channels))
+        await wait_until(lambda: not any(channel.draining_connections for channel in client.client.channels))
     await new.stop()
 
 
--- a/tests/network/test_dispatcher_endings.py
+++ b/tests/network/test_dispatcher_endings.py
@@ -202,7 +202,7 @@
         if len(self.counter.unreported_calls["all"]) != len(self.ids):
             return False
         return not any(
-            channel.is_flush_scheduled or channel.unwritten or channel.connecting
+            channel.is_flush_scheduled or channel.unwritten_calls or channel.connect_task
             for channel in self.counter.channels
         )
 
