--- a/gateway/network/discovery/backoff.py
+++ b/gateway/network/discovery/backoff.py
@@ -16,7 +16,7 @@
 MAX_DELAY_S = 2.5
 """Longest delay, in seconds: two of them fit `NOTIFICATION_BOUND_S` with time for the responses."""
 
-DELAY_PER_GATEWAY_S = 0.075
+FIRST_DELAY_PER_GATEWAY_S = 0.075
 """First delay, in seconds for each gateway of the fleet: it bounds the rate of the first retries of all."""
 
 INITIAL_SPREAD_PER_GATEWAY_S = 0.1
@@ -38,7 +38,7 @@
         """`max_delay_s` lowers the cap of `MAX_DELAY_S` where the list may be less stale than that."""
         self._initial_spread_s = min(INITIAL_SPREAD_PER_GATEWAY_S * gateway_count, max_delay_s / 2)
         self._max_delay_s = min(MAX_DELAY_S, max_delay_s)
-        self._first_delay_s = gateway_count * DELAY_PER_GATEWAY_S
+        self._first_delay_s = gateway_count * FIRST_DELAY_PER_GATEWAY_S
         self._delay_s = self._first_delay_s
         self._rng = rng
 
--- a/gateway/network/discovery/call.py
+++ b/gateway/network/discovery/call.py
@@ -22,14 +22,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallEnd:
+class CallResult:
     """The end of a call to discovery, and the error that caused it, if any."""
 
     outcome: CallOutcome
     error: str = ""
 
     @classmethod
-    def from_error(cls, outcome: CallOutcome, error: Exception) -> CallEnd:
+    def from_error(cls, outcome: CallOutcome, error: Exception) -> CallResult:
         """Return the end of a call that `error` ended."""
         return cls(outcome, f"{type(error).__name__}: {error}")
 
@@ -53,15 +53,15 @@
     version: int | None
     opened_at: float
     is_answered: bool = False
-    _task: asyncio.Task[CallEnd] | None = field(default=None, init=False)
+    _task: asyncio.Task[CallResult] | None = field(default=None, init=False)
 
     def start(
         self,
-        run: Coroutine[Any, Any, CallEnd],
-        on_done: Callable[[WatchCall, asyncio.Task[CallEnd]], None],
+        coroutine: Coroutine[Any, Any, CallResult],
+        on_done: Callable[[WatchCall, asyncio.Task[CallResult]], None],
     ) -> None:
         """Run the call as a task; `on_done` is called with its end, or once it is cancelled."""
-        self._task = asyncio.get_running_loop().create_task(run)
+        self._task = asyncio.get_running_loop().create_task(coroutine)
         self._task.add_done_callback(partial(on_done, self))
 
     def mark_answered(self) -> None:
--- a/gateway/network/discovery/delivery.py
+++ b/gateway/network/discovery/delivery.py
@@ -94,7 +94,7 @@
     def add(self, endpoints: tuple[ListedEndpoint, ...]) -> None:
         """Append a part, and deliver the one before it if the kind of the update is known."""
         self.pending.append(endpoints)
-        if len(self.pending) > 1 and self._message.has_kind:
+        if len(self.pending) > 1 and self._message.is_kind_known:
             self.deliver_next(is_last=False)
 
     def add_empty_snapshot(self) -> None:
--- a/gateway/network/discovery/endpoint_list.py
+++ b/gateway/network/discovery/endpoint_list.py
@@ -89,7 +89,7 @@
 class EndpointListMessage:
     """One message of a watch, parsed a batch of endpoints at a time.
 
-    `version`, `is_snapshot` and `has_kind` hold for what has been parsed so far: discovery may send the
+    `version`, `is_snapshot` and `is_kind_known` hold for what has been parsed so far: discovery may send the
     version and the kind before or after the endpoints.
     """
 
@@ -120,7 +120,7 @@
         return parse_version(self._fields)
 
     @property
-    def has_kind(self) -> bool:
+    def is_kind_known(self) -> bool:
         """Whether it is known by now if the message is a snapshot or a delta."""
         return IS_SNAPSHOT_FIELD in self._fields
 
--- a/gateway/network/discovery/watch.py
+++ b/gateway/network/discovery/watch.py
@@ -13,7 +13,7 @@
 from gateway.network.codecs.json_stream import JsonStreamError
 
 from .backoff import Backoff
-from .call import CallEnd, CallOutcome, WatchCall
+from .call import CallOutcome, CallResult, WatchCall
 from .delivery import DeliveredUpdate, EndpointDelivery, EndpointListener
 from .endpoint_list import EndpointListError
 from .reopening import MIN_REOPEN_DELAY_S, ReopenSchedule
@@ -28,10 +28,10 @@
 class EndpointWatcher:
     """Follows the endpoint list from a version on and delivers each update to a listener.
 
-    With `is_polled`, the gateway calls discovery itself; else an agent beside the gateway pushes the list. A
-    drain that the agent has received counts as notified, so another call is opened beside one without an
-    answer every `reopen_after_s`. The first call that is answered is followed. `ReopenSchedule` holds the
-    times of the calls.
+    With `polls_discovery`, the gateway calls discovery itself; else an agent beside the gateway pushes the
+    list. A drain that the agent has received counts as notified, so another call is opened beside one without
+    an answer every `retry_interval_s`. The first call that is answered is followed. `ReopenSchedule` holds
+    the times of the calls.
 
     Attributes:
         address: where discovery is called.
@@ -46,17 +46,19 @@
         on_update: EndpointListener,
         backoff: Backoff,
         *,
-        is_polled: bool = False,
-        reopen_after_s: float = MIN_REOPEN_DELAY_S,
+        polls_discovery: bool = False,
+        retry_interval_s: float = MIN_REOPEN_DELAY_S,
     ) -> None:
         self.address = address
         self.version = initial_version
         self.snapshot_received = asyncio.Event()
         self._delivery = EndpointDelivery(on_update)
-        self._schedule = ReopenSchedule(backoff, is_polled=is_polled, reopen_after_s=reopen_after_s)
-        self._followed_call: WatchCall | None = None
+        self._schedule = ReopenSchedule(
+            backoff, polls_discovery=polls_discovery, retry_interval_s=retry_interval_s
+        )
+        self._active_call: WatchCall | None = None
         self._unanswered_calls: list[WatchCall] = []  # the oldest first
-        self._last_end: CallEnd | None = None
+        self._last_result: CallResult | None = None
         self._state_changed = asyncio.Event()
 
     def move_to(self, address: Address) -> None:
@@ -71,7 +73,7 @@
         self._unanswered_calls = []
         for call in cancelled_calls:
             call.cancel()
-        self._schedule.open_at_once()
+        self._schedule.make_call_due()
         self._state_changed.set()
 
     async def run(self) -> None:
@@ -81,31 +83,31 @@
         try:
             while True:
                 self._state_changed.clear()
-                wait_s = self._open_if_due()
+                wait_s = self._open_call_if_due()
                 with contextlib.suppress(TimeoutError):
                     async with asyncio.timeout(wait_s):
                         await self._state_changed.wait()
         finally:
-            for call in self._open_calls():
+            for call in self._all_calls():
                 call.cancel()
 
     # ---- opening calls ----
 
-    def _open_calls(self) -> list[WatchCall]:
-        followed_calls = [] if self._followed_call is None else [self._followed_call]
-        return self._unanswered_calls + followed_calls
+    def _all_calls(self) -> list[WatchCall]:
+        active_calls = [] if self._active_call is None else [self._active_call]
+        return self._unanswered_calls + active_calls
 
-    def _open_if_due(self) -> float | None:
+    def _open_call_if_due(self) -> float | None:
         """Open a call if one is due; return the seconds until the next one, None if none is needed."""
-        if self._followed_call is not None and self._followed_call.address == self.address:
+        if self._active_call is not None and self._active_call.address == self.address:
             return None
         loop = asyncio.get_running_loop()
-        if loop.time() >= self._schedule.next_open_at:
-            self._open(loop.time())
-            self._schedule.on_opened(loop.time())
-        return self._schedule.next_open_at - loop.time()
+        if loop.time() >= self._schedule.next_call_at:
+            self._open_call(loop.time())
+            self._schedule.on_call_opened(loop.time())
+        return self._schedule.next_call_at - loop.time()
 
-    def _open(self, now: float) -> None:
+    def _open_call(self, now: float) -> None:
         if len(self._unanswered_calls) >= MAX_UNANSWERED_CALLS:
             self._unanswered_calls.pop(0).cancel()
         call = WatchCall(self.address, self.version, opened_at=now)
@@ -114,33 +116,33 @@
 
     # ---- a call's course ----
 
-    async def _run_call(self, call: WatchCall) -> CallEnd:
+    async def _run_call(self, call: WatchCall) -> CallResult:
         """Deliver the updates of a call until it ends."""
         try:
             return await self._deliver_all(call)
         except DiscoveryOverloadedError as error:
-            return CallEnd.from_error(CallOutcome.OVERLOADED, error)
+            return CallResult.from_error(CallOutcome.OVERLOADED, error)
         except (EndpointListError, JsonStreamError) as error:
             # The changes of a malformed event are lost, so a snapshot is read next.
             self.version = None
-            return CallEnd.from_error(CallOutcome.FAILED, error)
+            return CallResult.from_error(CallOutcome.FAILED, error)
         except (OSError, h11.ProtocolError, DiscoveryError) as error:  # OSError: time-outs too
-            return CallEnd.from_error(CallOutcome.FAILED, error)
+            return CallResult.from_error(CallOutcome.FAILED, error)
         except Exception:
             # Without a watch the list goes stale and drains are missed: the watch outlives any fault.
             log.exception("update from discovery at %s not applied; reading a snapshot", call.address)
             self.version = None
-            return CallEnd(CallOutcome.FAILED)
+            return CallResult(CallOutcome.FAILED)
 
-    async def _deliver_all(self, call: WatchCall) -> CallEnd:
-        objects = stream_objects(call.address, list_target(call.version), partial(self._follow, call))
+    async def _deliver_all(self, call: WatchCall) -> CallResult:
+        objects = stream_objects(call.address, list_target(call.version), partial(self._activate, call))
         async with contextlib.aclosing(objects):
             async for text in objects:
-                if call is not self._followed_call:
-                    return CallEnd(CallOutcome.SUPERSEDED)
+                if call is not self._active_call:
+                    return CallResult(CallOutcome.SUPERSEDED)
                 update = await self._delivery.deliver(text)
                 self._on_delivered(call, update)
-        return CallEnd(CallOutcome.CLOSED)
+        return CallResult(CallOutcome.CLOSED)
 
     def _on_delivered(self, call: WatchCall, update: DeliveredUpdate) -> None:
         if call.address != self.address:
@@ -149,11 +151,11 @@
         if update.is_snapshot:
             self.snapshot_received.set()
 
-    def _follow(self, call: WatchCall) -> None:
+    def _activate(self, call: WatchCall) -> None:
         """Follow a call from now on, as it has been answered, and cancel all others."""
-        other_calls = [other for other in self._open_calls() if other is not call]
+        other_calls = [other for other in self._all_calls() if other is not call]
         call.mark_answered()
-        self._followed_call = call
+        self._active_call = call
         self._unanswered_calls = []
         for other in other_calls:
             other.cancel()
@@ -161,9 +163,9 @@
 
     # ---- a call's end ----
 
-    def _on_call_done(self, call: WatchCall, task: asyncio.Task[CallEnd]) -> None:
-        if call is self._followed_call:
-            self._followed_call = None
+    def _on_call_done(self, call: WatchCall, task: asyncio.Task[CallResult]) -> None:
+        if call is self._active_call:
+            self._active_call = None
         elif call in self._unanswered_calls:
             self._unanswered_calls.remove(call)
         if task.cancelled():
@@ -172,23 +174,23 @@
             self._schedule_next_call(call, task.result())
         self._state_changed.set()
 
-    def _schedule_next_call(self, call: WatchCall, end: CallEnd) -> None:
+    def _schedule_next_call(self, call: WatchCall, result: CallResult) -> None:
         now = asyncio.get_running_loop().time()
-        delay_s = self._schedule.on_ended(
+        delay_s = self._schedule.on_call_ended(
             call,
-            end,
+            result,
             now,
             snapshot_delivered=call.version is None and self.version is not None,
             has_unanswered_calls=bool(self._unanswered_calls),
         )
-        is_repeated = end == self._last_end and not call.is_answered
-        self._last_end = end
+        is_repeated = result == self._last_result and not call.is_answered
+        self._last_result = result
         if is_repeated:
             return  # one line for the same failure again and again
         log.info(
             "discovery watch at %s %s after %.1f s; reopening in %.1f s",
             call.address,
-            end,
+            result,
             now - call.opened_at,
             delay_s,
         )
--- a/gateway/network/process/parts.py
+++ b/gateway/network/process/parts.py
@@ -90,8 +90,8 @@
             version,
             on_endpoints,
             backoff,
-            is_polled=settings.polls_endpoints,
-            reopen_after_s=_watch_retry_interval_s(settings.safety_rules),
+            polls_discovery=settings.polls_endpoints,
+            retry_interval_s=_watch_retry_interval_s(settings.safety_rules),
         )
 
     def create_listener(self, handler: RequestHandler) -> ClientListener:
--- a/tests/network/discovery/test_backoff.py
+++ b/tests/network/discovery/test_backoff.py
@@ -13,7 +13,7 @@
 QUEUE_TIMEOUT_S = 2.0
 """Longest time, in seconds, in the service's queue; a call that waits longer is rejected at its turn."""
 
-MAX_POLL_AGE_S = 10.0
+LOOSE_MAX_DELAY_S = 10.0
 """Cap on the delays, in seconds, above the backoff's own."""
 
 
@@ -26,7 +26,7 @@
     rng = random.Random(7)
     free_at = 0.0
     answered = 0
-    fleet = [Backoff(gateway_count, MAX_POLL_AGE_S, rng) for _ in range(gateway_count)]
+    fleet = [Backoff(gateway_count, LOOSE_MAX_DELAY_S, rng) for _ in range(gateway_count)]
     calls = [(backoff.initial_delay(), index) for index, backoff in enumerate(fleet)]
     heapq.heapify(calls)
     while calls and calls[0][0] < until_s:
@@ -41,7 +41,7 @@
 
 @pytest.fixture
 def backoff() -> Backoff:
-    return Backoff(10, MAX_POLL_AGE_S, random.Random(1))
+    return Backoff(10, LOOSE_MAX_DELAY_S, random.Random(1))
 
 
 @pytest.mark.parametrize(("capacity_per_s", "until_s"), [(20.0, 6.0), (8.0, 10.0), (6.0, 20.0)])
@@ -66,7 +66,7 @@
 @pytest.mark.parametrize("seed", range(20))
 def test_two_consecutive_delays_leave_time_for_the_response(gateway_count: int, seed: int) -> None:
     """A change that discovery receives meanwhile counts as notified, whether it was delivered or not."""
-    backoff = Backoff(gateway_count, MAX_POLL_AGE_S, random.Random(seed))
+    backoff = Backoff(gateway_count, LOOSE_MAX_DELAY_S, random.Random(seed))
 
     delays = [backoff.next_delay() for _ in range(20)]
 
@@ -77,7 +77,7 @@
 def test_backoff_bounds_the_call_rate_of_a_rejected_fleet(gateway_count: int, max_calls_per_s: int) -> None:
     """The rate grows with the fleet, as each gateway retries within `MAX_DELAY_S`."""
     rng = random.Random(7)
-    fleet = [Backoff(gateway_count, MAX_POLL_AGE_S, rng) for _ in range(gateway_count)]
+    fleet = [Backoff(gateway_count, LOOSE_MAX_DELAY_S, rng) for _ in range(gateway_count)]
 
     call_count = 0
     for backoff in fleet:
@@ -89,8 +89,8 @@
 
 
 def test_first_delay_of_a_small_fleet_is_short() -> None:
-    assert Backoff(2, MAX_POLL_AGE_S, random.Random(1)).next_delay() < 0.2
+    assert Backoff(2, LOOSE_MAX_DELAY_S, random.Random(1)).next_delay() < 0.2
 
 
 def test_initial_delay_of_a_small_fleet_is_short() -> None:
-    assert Backoff(2, MAX_POLL_AGE_S, random.Random(1)).initial_delay() <= 0.2
+    assert Backoff(2, LOOSE_MAX_DELAY_S, random.Random(1)).initial_delay() <= 0.2
--- a/tests/network/discovery/test_endpoint_endings.py
+++ b/tests/network/discovery/test_endpoint_endings.py
@@ -42,7 +42,7 @@
     """What the agent has at its return counts as notified at once: a lost call must not delay it."""
     monkeypatch.setattr("gateway.network.discovery.stream.HEARTBEAT_TIMEOUT_S", 3600.0)
     agent = PausedDiscovery()
-    async with WatchHarness(service=agent, reopen_after_s=0.01) as watch:
+    async with WatchHarness(service=agent, retry_interval_s=0.01) as watch:
         await wait_until(lambda: agent.calls > MAX_UNANSWERED_CALLS)
         assert len(agent.open) <= MAX_UNANSWERED_CALLS + 1, "their number is bounded"
 
@@ -114,7 +114,7 @@
 @runs_in_loop
 async def test_move_to_an_unresponsive_address_keeps_the_old_watch() -> None:
     """A drain that arrives there meanwhile counts as notified."""
-    async with open_watch(service=FakeDiscovery(), reopen_after_s=0.01) as watch:
+    async with open_watch(service=FakeDiscovery(), retry_interval_s=0.01) as watch:
         new_discovery = PausedDiscovery()
         await new_discovery.start()
 
--- a/tests/network/discovery/test_endpoint_watch.py
+++ b/tests/network/discovery/test_endpoint_watch.py
@@ -200,7 +200,7 @@
 
 @runs_in_loop
 async def test_move_does_not_wait_for_the_next_reopening() -> None:
-    async with open_watch(reopen_after_s=3600.0) as watch:
+    async with open_watch(retry_interval_s=3600.0) as watch:
         watch.service.close_connections()
         await wait_until(lambda: not watch.service.open)
 
--- a/tests/network/discovery/test_notification_bound.py
+++ b/tests/network/discovery/test_notification_bound.py
@@ -196,7 +196,7 @@
 ]
 
 
-async def notification_delay(fault: Fault, seed: int, *, is_polled: bool) -> float:
+async def notification_delay(fault: Fault, seed: int, *, polls_discovery: bool) -> float:
     """Return the seconds from a drain during a fault to its delivery."""
     drain_delivered = asyncio.Event()
 
@@ -206,9 +206,9 @@
         if any(listed.endpoint.state is EndpointState.DRAINING for listed in endpoints):
             drain_delivered.set()
 
-    discovery = FaultyDiscovery(POLLED_RESPONSE_S if is_polled else 0.0)
+    discovery = FaultyDiscovery(POLLED_RESPONSE_S if polls_discovery else 0.0)
     backoff = Backoff(GATEWAY_COUNT, 10.0, random.Random(seed))
-    async with WatchHarness(service=discovery, backoff=backoff, is_polled=is_polled) as watch:
+    async with WatchHarness(service=discovery, backoff=backoff, polls_discovery=polls_discovery) as watch:
         watch.listener = detect_drain
         await discovery.heartbeat_sent.wait()
         drained_at = await fault(discovery, watch.client)
@@ -217,13 +217,13 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-@pytest.mark.parametrize("is_polled", [False, True], ids=["pushed", "polled"])
-def test_drain_is_delivered_within_the_bound(is_polled: bool, fault: Fault) -> None:
+@pytest.mark.parametrize("polls_discovery", [False, True], ids=["pushed", "polled"])
+def test_drain_is_delivered_within_the_bound(polls_discovery: bool, fault: Fault) -> None:
     """After a drain that is delivered too late, new work would go to a backend that has ended."""
     delays: list[float] = []
 
     async def scenario(seed: int) -> None:
-        delays.append(await notification_delay(fault, seed, is_polled=is_polled))
+        delays.append(await notification_delay(fault, seed, polls_discovery=polls_discovery))
 
     for seed in SEEDS:
         in_virtual_time(partial(scenario, seed))
--- a/tests/support/watch_harness.py
+++ b/tests/support/watch_harness.py
@@ -56,14 +56,14 @@
         service: FakeDiscovery | None = None,
         *,
         backoff: Backoff | None = None,
-        is_polled: bool = False,
-        reopen_after_s: float = MIN_REOPEN_DELAY_S,
+        polls_discovery: bool = False,
+        retry_interval_s: float = MIN_REOPEN_DELAY_S,
     ) -> None:
         self.version = version
         self.service = service or FakeDiscovery()
         self.backoff = backoff or Backoff(2, 10.0, random.Random(1))
-        self.is_polled = is_polled
-        self.reopen_after_s = reopen_after_s
+        self.polls_discovery = polls_discovery
+        self.retry_interval_s = retry_interval_s
         self.updates: list[RecordedUpdate] = []
         self.listener: EndpointListener = self.record
 
@@ -81,8 +81,8 @@
             self.version,
             lambda *part: self.listener(*part),
             self.backoff,
-            is_polled=self.is_polled,
-            reopen_after_s=self.reopen_after_s,
+            polls_discovery=self.polls_discovery,
+            retry_interval_s=self.retry_interval_s,
         )
         self.task = asyncio.create_task(self.client.run())
         return self
