--- a/tests/network/counter/test_counter_client.py
+++ b/tests/network/counter/test_counter_client.py
@@ -177,7 +177,7 @@
 
 
 @runs_in_loop
-async def test_call_whose_connection_is_lost_may_have_added() -> None:
+async def test_call_whose_connection_is_lost_times_out() -> None:
     async with running_client(FakeCounter(always(b""))) as client:
         client.increment()
 
--- a/tests/network/discovery/test_endpoint_watch.py
+++ b/tests/network/discovery/test_endpoint_watch.py
@@ -61,15 +61,15 @@
 
 
 @runs_in_loop
-async def test_watch_outlives_a_fault_of_the_listener() -> None:
+async def test_watch_continues_after_an_error_of_the_listener() -> None:
     async with open_watch() as watch:
-        faults = [RuntimeError("not now")]
+        errors = [RuntimeError("not now")]
 
         def fail_once(
             kind: UpdateKind, endpoints: tuple[ListedEndpoint, ...], is_first: bool, is_last: bool
         ) -> None:
-            if faults:
-                raise faults.pop()
+            if errors:
+                raise errors.pop()
             watch.record(kind, endpoints, is_first, is_last)
 
         watch.listener = fail_once
