--- a/gateway/network/counter/__init__.py
+++ b/gateway/network/counter/__init__.py
@@ -1,1 +1,1 @@
-"""The client of the counter service, which keeps the totals that all gateways share."""
+"""Client of the counter service, which keeps the totals that all gateways share."""
--- a/gateway/network/counter/call.py
+++ b/gateway/network/counter/call.py
@@ -10,11 +10,11 @@
 from .protocol import CounterResult
 
 ResponseCallback = Callable[[str, Outcome, float], None]
-"""Called once for each call with the counter's name, the outcome and the total (0 unless it succeeded)."""
+"""Called once per call with the total's name, the outcome and the total (0 unless the call succeeded)."""
 
 
 class CounterCall:
-    """One call; it completes once, and later results are ignored."""
+    """A call and its result; the first result counts, and later ones are ignored."""
 
     __slots__ = ("_on_completed", "_timeout_timer", "name", "on_response", "request_line", "result")
 
@@ -25,7 +25,7 @@
         on_response: ResponseCallback,
         on_completed: Callable[[str], None],
     ) -> None:
-        """`on_completed` is called with the name on completion, and has to call `on_response` in turn."""
+        """Create a call that passes its name to `on_completed`, which in turn has to call `on_response`."""
         self.name = name
         self.request_line = request_line
         self.on_response = on_response
@@ -34,14 +34,14 @@
         self._on_completed = on_completed
 
     def set_timeout_timer(self, timer: Timer) -> None:
-        """Take over the timer of the call's time-out, which is cancelled on completion."""
+        """Set the timer to cancel on completion; cancel it at once if the call has already completed."""
         if self.result is not None:
             timer.cancel()
             return
         self._timeout_timer = timer
 
     def complete(self, result: CounterResult) -> None:
-        """Set the result and cancel the time-out; does nothing if the call has completed before."""
+        """Set the result and cancel the timeout; do nothing if the call has already completed."""
         if self.result is not None:
             return
         self.result = result
--- a/gateway/network/counter/channel.py
+++ b/gateway/network/counter/channel.py
@@ -1,4 +1,4 @@
-"""A channel to the counter service: the calls of the names that share one connection."""
+"""A channel to the counter service, which carries the calls for some of the names over one connection."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 
 class CounterChannel:
-    """Writes calls to one connection, so that the responses for a name keep the order of its calls.
+    """Writes calls to one connection, so that the responses for a name arrive in the order of its calls.
 
-    The connection is opened when a call needs it; calls of one turn of the event loop are written together.
+    The connection is opened when a call needs it. Calls from one turn of the event loop are written together.
     """
 
     def __init__(
@@ -29,13 +29,16 @@
         connect_timeout_ms: float,
         on_connection_failed: Callable[[CloseReason], None],
     ) -> None:
-        """`on_connection_failed` is called for each connection that is closed after a fault."""
+        """Create a channel without a connection.
+
+        `on_connection_failed` is called with the reason for each connection that is closed after a fault.
+        """
         self.address = address
         self.connection: CounterConnection | None = None
         self.draining_connections: set[CounterConnection] = set()
-        """Connections to earlier addresses with unanswered calls."""
+        """Connections to earlier addresses that stay open until their calls have been answered."""
         self.unwritten_calls: list[CounterCall] = []
-        """Calls that wait for a connection or for the end of this turn of the event loop."""
+        """Calls that wait for a connection, or for the end of this turn of the event loop."""
         self.connect_task: asyncio.Task[None] | None = None
         self.is_flush_scheduled = False
         self._loop = loop
@@ -43,19 +46,19 @@
         self._on_connection_failed = on_connection_failed
 
     def enqueue(self, call: CounterCall) -> None:
-        """Write a call at the end of this turn of the event loop, or once there is a connection."""
+        """Queue a call; it is written at the end of this turn of the event loop, or once connected."""
         self.unwritten_calls.append(call)
         if not self.is_flush_scheduled:
             self.is_flush_scheduled = True
             self._loop.call_soon(self._flush)
 
     def time_out(self, call: CounterCall) -> None:
-        """Time out a call. One that was not written added nothing and ends as a connect error."""
+        """Time out a call. A call that was not written has added nothing, and ends as a connect error."""
         is_written = call not in self.unwritten_calls
         call.complete(CounterResult(Outcome.TIMED_OUT if is_written else Outcome.CONNECT_ERROR))
 
     def move_to(self, address: Address) -> None:
-        """Use another address for unwritten calls; outstanding responses of the old one are still read."""
+        """Use another address for unwritten calls; pending responses from the old one are still read."""
         self.address = address
         if self.connect_task is not None:
             self.connect_task.cancel()
@@ -64,19 +67,19 @@
         self._flush()
 
     def close(self) -> None:
-        """Close the connection to the current address; its unanswered calls time out."""
+        """Close the connection to the current address; the unanswered calls on it time out."""
         if self.connect_task is not None:
             self.connect_task.cancel()
         if self.connection is not None:
             self.connection.close()
 
     def close_draining_connections(self) -> None:
-        """Close the connections to earlier addresses; their unanswered calls time out."""
+        """Close the connections to earlier addresses; the unanswered calls on them time out."""
         for connection in list(self.draining_connections):
             connection.close()
 
     def _drain_connection(self) -> None:
-        """Write no more calls to the connection, and keep it open only while calls on it are unanswered."""
+        """Stop writing to the connection, and close it unless calls on it are still unanswered."""
         connection = self.connection
         self.connection = None
         if connection is None or connection.is_closed:
@@ -110,14 +113,14 @@
         try:
             async with asyncio.timeout(self._connect_timeout_ms / MS_PER_S):
                 _, self.connection = await self._loop.create_connection(create_protocol, host, port)
-        except OSError:  # also TimeoutError
+        except OSError:  # TimeoutError is a subclass
             self._fail_unwritten_calls()
         finally:
             self.connect_task = None
         self._flush()
 
     def _fail_unwritten_calls(self) -> None:
-        """End the calls that are not written as connect errors: they added nothing."""
+        """Complete the unwritten calls as connect errors: they have added nothing."""
         calls = self.unwritten_calls
         self.unwritten_calls = []
         for call in calls:
--- a/gateway/network/counter/client.py
+++ b/gateway/network/counter/client.py
@@ -1,4 +1,4 @@
-"""The client of the counter service, which keeps the totals that all gateways share."""
+"""Client of the counter service, which keeps the totals that all gateways share."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 log = logging.getLogger(__name__)
 
 CHANNEL_COUNT = 4
-"""Connections to the counter. A response that is late delays only those behind it on its connection."""
+"""Number of connections to the counter. A late response delays only those after it on its own connection."""
 
 FAILURE_LOG_INTERVAL_MS = 1_000.0
-"""Least time, in milliseconds, between two log lines about connections closed after a fault."""
+"""Interval, in milliseconds, at which connections closed after a fault are logged, in one line for all."""
 
 
 class CounterClient:
-    """Adds to named totals. Each call gets exactly one response, in the order of the calls for its name."""
+    """Adds to named totals. Each call gets exactly one response; those for one name come in call order."""
 
     def __init__(
         self,
@@ -35,20 +35,20 @@
         address: Address,
         call_timeout_ms: float,
     ) -> None:
-        """`call_timeout_ms` bounds each call, and each connect."""
+        """Create a client. `call_timeout_ms` bounds the time of each call, and of each connection attempt."""
         self.address = address
         self.channels = [
             CounterChannel(loop, address, call_timeout_ms, self._count_failure) for _ in range(CHANNEL_COUNT)
         ]
         self.unreported_calls: dict[str, deque[CounterCall]] = {}
-        """Calls whose response has not been reported, by name, the oldest first."""
+        """Calls whose outcome has not been reported yet, by name, oldest first."""
         self._timers = timers
         self._call_timeout_ms = call_timeout_ms
         self._failure_counts: Counter[CloseReason] = Counter()
         timers.call_at(now_ms() + FAILURE_LOG_INTERVAL_MS, self._log_failures)
 
     def move_to(self, address: Address) -> None:
-        """Use another address from now on; outstanding responses of the old one are still read."""
+        """Use another address from now on; pending responses from the old one are still read."""
         if address == self.address:
             return
         self.address = address
@@ -56,10 +56,10 @@
             channel.move_to(address)
 
     def increment(self, name: str, amount: float, ttl_ms: float, on_response: ResponseCallback) -> None:
-        """Add to the total of a name, which expires after `ttl_ms`; 0 reads it.
+        """Add `amount` to the total of a name, which expires after `ttl_ms`; an amount of 0 reads the total.
 
-        The callback gets TIMED_OUT where the amount may have been added, CONNECT_ERROR and QUEUE_FULL
-        where it was not.
+        The outcome TIMED_OUT means that the amount may have been added; CONNECT_ERROR and QUEUE_FULL mean
+        that it was not.
         """
         encoded_name = name.encode()
         line = encode_increment(encoded_name, amount, ttl_ms)
@@ -71,18 +71,18 @@
         call.set_timeout_timer(self._timers.call_at(timeout_at, partial(channel.time_out, call)))
 
     def close(self) -> None:
-        """Close all connections; unanswered calls time out."""
+        """Close all connections; their unanswered calls time out."""
         for channel in self.channels:
             channel.close()
         for channel in self.channels:
             channel.close_draining_connections()
 
     def _report_completed_calls(self, name: str) -> None:
-        """Report the outcomes of a name's calls in the order of the calls.
+        """Report the outcomes of completed calls for a name, in the order of the calls.
 
-        The policy matches responses to calls by name and order alone, and a call to a new address or over a
-        new connection can complete before an older one. Its response is held back until that one completes,
-        at its time-out at the latest.
+        The policy matches responses to calls by name and order alone, but a call over a new connection, or to
+        a new address, can complete before an older one. Its outcome is held back until the older call
+        completes, at the latest when that call times out.
         """
         calls = self.unreported_calls[name]
         while calls and (result := calls[0].result) is not None:
--- a/gateway/network/counter/connection.py
+++ b/gateway/network/counter/connection.py
@@ -1,4 +1,4 @@
-"""One connection to the counter service, with pipelined calls."""
+"""A connection to the counter service, over which calls are pipelined."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 from .protocol import CounterResult, parse_response
 
 INACTIVITY_TIMEOUT_MS = 300.0
-"""Longest time, in milliseconds, without a byte on a connection with unanswered calls before it is closed."""
+"""Time, in milliseconds, without data after which a connection with unanswered calls is closed."""
 
 MAX_IDLE_MS = 3_000.0
-"""Idle time, in milliseconds, after which a connection is not used again: the counter may be closing it."""
+"""Idle time, in milliseconds, after which a connection is not reused: the counter may be closing it."""
 
 MAX_UNANSWERED_CALLS = 1_000
-"""Most calls that are written to one connection and unanswered."""
+"""Number of unanswered calls at which a connection takes no further calls and is closed."""
 
 MAX_LINE_BYTES = 64
-"""Longest incomplete response, in bytes, that is buffered."""
+"""Maximum size, in bytes, of an incomplete response line; a longer one closes the connection."""
 
 
 class CloseReason(Enum):
-    """Why a connection was closed after a fault; the value is its wording in the log."""
+    """The fault after which a connection was closed; the value is the text in the log."""
 
     UNRESPONSIVE = "no response in time"
     TOO_MANY_UNANSWERED = "too many unanswered calls"
@@ -38,14 +38,17 @@
 
 
 class CounterConnection(asyncio.Protocol):
-    """Pipelines calls: each response belongs to the oldest unanswered call, however late it arrives."""
+    """Pipelines calls: each response belongs to the oldest unanswered call, even if that has timed out."""
 
     def __init__(
         self,
         on_failed: Callable[[CloseReason], None],
         on_closed: Callable[[CounterConnection], None],
     ) -> None:
-        """`on_failed` is called before the connection closes after a fault, `on_closed` once it is closed."""
+        """Create a protocol.
+
+        `on_failed` is called before the connection closes after a fault, `on_closed` once it is closed.
+        """
         self.transport: asyncio.Transport | None = None
         self.unanswered_calls: deque[CounterCall] = deque()
         self.is_closed = False
@@ -56,11 +59,11 @@
         self._partial_line = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport, as asyncio connects."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
+        """Store the transport; called by asyncio once the connection is established."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transport is not a subclass
 
     def write(self, calls: list[CounterCall]) -> None:
-        """Write the calls; their responses arrive in this order."""
+        """Write the calls; their responses arrive in the same order."""
         assert self.transport is not None
         now = now_ms()
         if not self.unanswered_calls:
@@ -70,9 +73,9 @@
         self.transport.write(b"".join(call.request_line for call in calls))
 
     def close_if_unusable(self) -> None:
-        """Close a connection that is unresponsive, has too many unanswered calls or was idle too long."""
+        """Close the connection if it is unresponsive, has too many unanswered calls or was idle too long."""
         now = now_ms()
-        # A peer that was cut off sends neither FIN nor RST: only the missing responses show it.
+        # A peer that is cut off sends neither FIN nor RST; only the lack of responses shows it.
         if self.unanswered_calls and now - self.last_received_at > INACTIVITY_TIMEOUT_MS:
             self.fail(CloseReason.UNRESPONSIVE)
         elif len(self.unanswered_calls) >= MAX_UNANSWERED_CALLS:
@@ -92,23 +95,23 @@
                 return
             result = parse_response(line)
             if result is None:
-                # After a malformed line, responses cannot be matched to calls any more.
+                # After a malformed line, responses can no longer be matched to calls.
                 self.fail(CloseReason.MALFORMED_RESPONSE)
                 return
-            # A call that has timed out keeps its place, so that its late response is not taken for another's.
+            # A call that has timed out stays queued, so that the next call does not get its late response.
             self.unanswered_calls.popleft().complete(result)
         if len(self._partial_line) > MAX_LINE_BYTES:
             self.fail(CloseReason.LINE_TOO_LONG)
 
     def fail(self, reason: CloseReason) -> None:
-        """Report the reason and close the connection, which cannot be used any more."""
+        """Report the fault and close the connection, which can no longer be used."""
         if self.is_closed:
             return
         self._on_failed(reason)
         self.close()
 
     def close(self) -> None:
-        """Close at once; the unanswered calls time out."""
+        """Close the connection at once; its unanswered calls time out."""
         if self.is_closed:
             return
         self.is_closed = True
@@ -117,7 +120,7 @@
         self._time_out_unanswered_calls()
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio's signature
-        """Time out the calls that are unanswered as the counter closes the connection."""
+        """Time out the unanswered calls; called by asyncio once the connection is closed by either side."""
         self.is_closed = True
         self._on_closed(self)
         self._time_out_unanswered_calls()
@@ -126,4 +129,4 @@
         calls = self.unanswered_calls
         self.unanswered_calls = deque()
         for call in calls:
-            call.complete(CounterResult(Outcome.TIMED_OUT))  # its amount may have been added
+            call.complete(CounterResult(Outcome.TIMED_OUT))  # the amount may have been added
--- a/gateway/network/counter/protocol.py
+++ b/gateway/network/counter/protocol.py
@@ -1,7 +1,7 @@
-"""The wire format of the counter service: one line for each call, one line for each response.
+"""Wire format of the counter service: one line per call and one line per response.
 
-A call is `tally NAME AMOUNT TTL_MS`, a response `ok TOTAL`, `busy` or `error`. The words of the protocol are
-named in this module only.
+A call is `tally NAME AMOUNT TTL_MS`; a response is `ok TOTAL`, `busy` or `error`. These keywords appear in
+this module only.
 """
 
 from __future__ import annotations
@@ -12,44 +12,44 @@
 from gateway.policy.events import Outcome
 
 INCREMENT_COMMAND = b"tally"
-"""Adds an amount to the total of a name and returns the total; an amount of 0 reads it."""
+"""Command that adds an amount to the total of a name and returns the new total; an amount of 0 reads it."""
 
 SUCCESS_STATUS = b"ok"
-"""The amount was added; the total follows."""
+"""Status of a call whose amount was added; the total follows."""
 
 OVERLOADED_STATUS = b"busy"
-"""The counter sheds load; nothing was added."""
+"""Status of a call that was shed because of overload; nothing was added."""
 
 ERROR_STATUS = b"error"
-"""The counter could not carry out the call; nothing was added."""
+"""Status of a call that the counter could not carry out; nothing was added."""
 
 REJECTION_STATUSES = (OVERLOADED_STATUS, ERROR_STATUS)
-"""Responses of calls that added nothing."""
+"""Responses to calls that added nothing."""
 
 INCREMENT_FORMAT = INCREMENT_COMMAND + b" %b %.6f %d\r\n"
-"""Call with name, amount in units and time to live in milliseconds."""
+"""Request line: name, amount in units, time to live (TTL) in milliseconds."""
 
 MIN_TTL_MS = 1
-"""Shortest time to live, in milliseconds, that the counter accepts."""
+"""Shortest TTL, in milliseconds, that the counter accepts."""
 
 SUCCESS_RESPONSE = re.compile(SUCCESS_STATUS + rb" (-?\d{1,18}(?:\.\d{0,18})?(?:[eE][+-]?\d\d?)?)")
-"""Response with a total, which `float` alone would read too freely: it takes nan, inf and 1_0 as numbers."""
+"""Response with a total; checked by a pattern because `float` alone would also accept nan, inf and 1_0."""
 
 
 class CounterResult(NamedTuple):
-    """How a call ended, and the total that the counter returned if it succeeded."""
+    """Outcome of a call, and the total that the counter returned if the call succeeded."""
 
     outcome: Outcome
     total: float = 0.0
 
 
 def encode_increment(name: bytes, amount: float, ttl_ms: float) -> bytes:
-    """Return the call that adds `amount` to a name; the counter deletes a name after `ttl_ms`."""
+    """Return the request line that adds `amount` to the total of a name, which expires after `ttl_ms`."""
     return INCREMENT_FORMAT % (name, amount, max(MIN_TTL_MS, int(ttl_ms)))
 
 
 def parse_response(line: bytes) -> CounterResult | None:
-    """Return the result in a response, given without its line feed; None if it is malformed."""
+    """Parse a response line without its line feed. Return None if it is malformed."""
     line = line.removesuffix(b"\r")
     if line in REJECTION_STATUSES:
         return CounterResult(Outcome.QUEUE_FULL)
--- a/tests/network/counter/test_counter_client.py
+++ b/tests/network/counter/test_counter_client.py
@@ -1,4 +1,4 @@
-"""The counter's client, over loopback sockets."""
+"""The client of the counter service, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class RecordingClient:
-    """Makes calls with a client and records their responses."""
+    """Calls the counter through a client and records the responses."""
 
     def __init__(self, client: CounterClient) -> None:
         self.client = client
@@ -38,7 +38,7 @@
         self.responses.append((name, outcome, total))
 
     async def wait_for_responses(self, count: int) -> list[Response]:
-        """Wait for at least `count` responses in all, and return all that were reported."""
+        """Wait until at least `count` responses were reported in total, and return all of them."""
         await wait_until(lambda: len(self.responses) >= count)
         return self.responses
 
@@ -47,7 +47,7 @@
 async def running_client(
     server: FakeCounter, call_timeout_ms: float = 2_000.0
 ) -> AsyncIterator[RecordingClient]:
-    """Start the server and a client of it."""
+    """Start a counter server and a client, and stop both on exit."""
     loop = asyncio.get_running_loop()
     await server.start()
     client = CounterClient(loop, TimerQueue(loop), server.address, call_timeout_ms)
@@ -114,7 +114,7 @@
 
 @runs_in_loop
 async def test_late_response_belongs_to_its_own_call() -> None:
-    """Matched to the next call, it would be the total of another moment, or of another name."""
+    """A late response must not be matched to the next call, whose time or name is another."""
     may_respond = asyncio.Event()
 
     async def respond_late_to_first(fields: list[bytes]) -> ScriptedReply:
@@ -145,7 +145,7 @@
     assert timer.callback is None
 
 
-# ---- connections that fail ----
+# ---- failed connections ----
 
 
 @runs_in_loop
@@ -186,7 +186,7 @@
 
 @runs_in_loop
 async def test_unresponsive_connection_is_replaced(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The connections of a host that was cut off stay open and never receive anything."""
+    """Connections to a host that is cut off from the network stay open but never receive data."""
     monkeypatch.setattr(counter_connection, "INACTIVITY_TIMEOUT_MS", 50.0)
     server = FakeCounter(always(None))
     async with running_client(server, call_timeout_ms=100.0) as client:
@@ -203,7 +203,7 @@
 
 @runs_in_loop
 async def test_malformed_response_ends_its_connection() -> None:
-    """The amount was added, and what follows on the connection cannot be matched to a call."""
+    """The amount was added, and later responses on the connection cannot be matched to calls."""
 
     async def script(fields: list[bytes]) -> ScriptedReply:
         return b"ok \r\nok 999\r\n" if fields[1] == b"malformed" else b"ok 7\r\n"
@@ -243,7 +243,7 @@
         )
 
 
-# ---- the counter moves ----
+# ---- change of the address ----
 
 
 @runs_in_loop
@@ -266,7 +266,7 @@
         assert await client.wait_for_responses(1) == [("other", Outcome.OK, 222.0)]
         client.increment("n")
         await wait_until(lambda: len(new.received) == 2)
-        assert len(client.responses) == 1, "reported now, it would be matched to the older call"
+        assert len(client.responses) == 1, "a response reported now would be matched to the older call"
         may_respond.set()
 
         responses = await client.wait_for_responses(3)
@@ -277,7 +277,7 @@
     await new.stop()
 
 
-# ---- a gateway and its counter ----
+# ---- a gateway with a counter ----
 
 
 @runs_in_loop
