--- a/gateway/network/discovery/__init__.py
+++ b/gateway/network/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The watch of the endpoint list at the discovery service."""
+"""Client of the discovery service: watches the endpoint list."""
--- a/gateway/network/discovery/call.py
+++ b/gateway/network/discovery/call.py
@@ -1,4 +1,4 @@
-"""One call to discovery, and how it ended."""
+"""A call to discovery and its result."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class CallOutcome(Enum):
-    """How a call to discovery ended; the value is its wording in the log."""
+    """How a call to discovery ended; the value is the text in the log."""
 
     CLOSED = "closed by peer"
     SUPERSEDED = "superseded by another call"
@@ -23,30 +23,30 @@
 
 @dataclass(frozen=True, slots=True)
 class CallResult:
-    """The end of a call to discovery, and the error that caused it, if any."""
+    """Outcome of a call to discovery, and the text of the error that ended it, if any."""
 
     outcome: CallOutcome
     error: str = ""
 
     @classmethod
     def from_error(cls, outcome: CallOutcome, error: Exception) -> CallResult:
-        """Return the end of a call that `error` ended."""
+        """Return the result of a call that was ended by `error`."""
         return cls(outcome, f"{type(error).__name__}: {error}")
 
     def __str__(self) -> str:
-        """Word the end for the log."""
+        """Return the text for the log."""
         return f"{self.outcome.value} ({self.error})" if self.error else self.outcome.value
 
 
 @dataclass(eq=False, slots=True)
 class WatchCall:
-    """One call to discovery, from its connect to its end.
+    """A call to discovery, from the connection attempt to its end.
 
     Attributes:
-        address: where discovery is called.
-        version: the changes after it are requested; None requests a snapshot, which ends the call.
-        opened_at: time of the connect, on the event loop's clock, in seconds.
-        is_answered: whether the response has begun, with a status that promises a list.
+        address: the address of discovery.
+        version: changes after this version are requested; None requests a snapshot, which ends the call.
+        opened_at: time of the connection attempt, in seconds on the event loop's clock.
+        is_answered: whether a response with a success status has begun.
     """
 
     address: Address
@@ -60,15 +60,15 @@
         coroutine: Coroutine[Any, Any, CallResult],
         on_done: Callable[[WatchCall, asyncio.Task[CallResult]], None],
     ) -> None:
-        """Run the call as a task; `on_done` is called with its end, or once it is cancelled."""
+        """Run the call as a task; `on_done` is called once the task has ended or was cancelled."""
         self._task = asyncio.get_running_loop().create_task(coroutine)
         self._task.add_done_callback(partial(on_done, self))
 
     def mark_answered(self) -> None:
-        """Note that the response has begun."""
+        """Record that a response with a success status has begun."""
         self.is_answered = True
 
     def cancel(self) -> None:
-        """Close the connection; a cancelled call is not logged."""
+        """Cancel the task, which closes the connection; a cancelled call is not logged."""
         if self._task is not None:
             self._task.cancel()
--- a/gateway/network/discovery/delivery.py
+++ b/gateway/network/discovery/delivery.py
@@ -1,7 +1,7 @@
-"""Delivery of watch messages to a listener in parts, with turns for other tasks between them.
+"""Delivery of watch messages to a listener in parts, with other tasks running between them.
 
-A long list takes most of a second to parse and apply, which in one piece would block the event loop and delay
-all requests. So endpoints are parsed and delivered in batches, and the event loop runs between them.
+Parsing and applying a long list takes most of a second. In one piece, this would block the event loop and
+delay all requests, so endpoints are parsed and delivered in batches, and the event loop runs between them.
 """
 
 from __future__ import annotations
@@ -15,43 +15,43 @@
 from .endpoint_list import EndpointListMessage, ListedEndpoint
 
 ENDPOINTS_PER_TURN = 64
-"""Work, in endpoints parsed and delivered, after which other tasks get their turn."""
+"""Work per turn of the event loop, in endpoints parsed and delivered, before other tasks run."""
 
 MESSAGE_COST = 4
-"""Work of a message without its endpoints, in endpoints."""
+"""Cost of a message apart from its endpoints, in the unit of one endpoint."""
 
 BYTES_PER_ENDPOINT_COST = 4096
-"""Bytes whose copy counts as much work as one endpoint."""
+"""Number of bytes whose copying costs as much as one endpoint."""
 
 
 class EndpointListener(Protocol):
-    """Receives the updates of the endpoint list."""
+    """Receives the updates of the endpoint list in parts."""
 
     def __call__(
         self, kind: UpdateKind, endpoints: tuple[ListedEndpoint, ...], is_first: bool, is_last: bool, /
     ) -> None:
-        """Apply one part of an update; `is_first` and `is_last` mark where the update begins and ends."""
+        """Apply a part of an update; `is_first` and `is_last` mark the first and the last part."""
 
 
 class DeliveredUpdate(NamedTuple):
-    """What a message held that was delivered completely."""
+    """Version and kind of an update that was delivered completely."""
 
     version: int
     is_snapshot: bool
 
 
 class EndpointDelivery:
-    """Parses messages and delivers them in parts, all of them on one budget of work per turn."""
+    """Parses messages and delivers them in parts; all messages share one budget of work per turn."""
 
     def __init__(self, on_update: EndpointListener) -> None:
         self._on_update = on_update
-        self._cost_this_turn = 0  # in endpoints
+        self._cost_this_turn = 0  # work done since other tasks ran, in endpoints
 
     async def deliver(self, text: bytes) -> DeliveredUpdate:
         """Parse a message and deliver it.
 
-        Raises EndpointListError if it is malformed. Parts of it may have been delivered by then, but never
-        the last one.
+        Raises EndpointListError if the message is malformed. Some of its parts may have been delivered by
+        then, but never the last one.
         """
         copy_cost = len(text) // BYTES_PER_ENDPOINT_COST
         await self._charge(MESSAGE_COST + copy_cost)
@@ -69,7 +69,7 @@
         return DeliveredUpdate(version, message.is_snapshot)
 
     async def _charge(self, cost: int) -> None:
-        """Charge work, in endpoints, to this turn, and let other tasks run once its budget is used up."""
+        """Add `cost`, in endpoints, to this turn's work; once the budget is used up, let other tasks run."""
         self._cost_this_turn += cost
         if self._cost_this_turn >= ENDPOINTS_PER_TURN:
             self._cost_this_turn = 0
@@ -77,10 +77,10 @@
 
 
 class _UpdateParts:
-    """The parts of one update that are parsed and not delivered yet.
+    """The parts of one update that have been parsed and not delivered yet.
 
-    A part waits until the kind of the update is known, which may follow all endpoints, and until another part
-    shows that it is not the last one.
+    A part is held back until the kind of the update is known, which may come after all endpoints, and until
+    another part shows that it is not the last one.
     """
 
     __slots__ = ("_has_begun", "_message", "_on_update", "pending")
@@ -98,12 +98,12 @@
             self.deliver_next(is_last=False)
 
     def add_empty_snapshot(self) -> None:
-        """Let a snapshot without endpoints be delivered too: it empties the list."""
+        """Append an empty part for a snapshot without endpoints, which has to empty the list."""
         if self._message.is_snapshot and not self.pending:
             self.pending.append(())
 
     def deliver_next(self, *, is_last: bool) -> None:
-        """Deliver the oldest part."""
+        """Deliver the oldest pending part."""
         kind = UpdateKind.SNAPSHOT if self._message.is_snapshot else UpdateKind.DELTA
         is_first = not self._has_begun
         self._has_begun = True
--- a/gateway/network/discovery/endpoint_list.py
+++ b/gateway/network/discovery/endpoint_list.py
@@ -1,6 +1,6 @@
-"""The endpoint list as discovery sends it, parsed into endpoints and their addresses.
+"""Parser of the endpoint list that discovery sends, into endpoints and their addresses.
 
-The field names and the state names of discovery's JSON appear in this module only.
+The names of fields and states in discovery's JSON appear in this module only.
 """
 
 from __future__ import annotations
@@ -16,33 +16,33 @@
 from gateway.network.codecs.json_stream import JsonStreamError, iterate_array
 from gateway.policy.events import Endpoint, EndpointState
 
-# Fields of a message, which is a snapshot of the list or a delta.
+# Fields of a message, which is either a snapshot of the list or a delta.
 
 VERSION_FIELD = "seq"
-"""Version of the list with the message applied."""
+"""Version of the list after the message is applied."""
 
 IS_SNAPSHOT_FIELD = "whole"
-"""Whether the message is a snapshot; a delta if the field is false or absent."""
+"""Whether the message is a snapshot; if false or absent, the message is a delta."""
 
 ENDPOINTS_FIELD = "hosts"
-"""Entries of the list, or of a delta those that changed."""
+"""All entries of the list in a snapshot, the changed entries in a delta."""
 
 # Fields of an entry.
 
 HOST_FIELD = "host"
-"""Host name of the backend, from which its id is derived."""
+"""Host name of the backend, from which the backend id is derived."""
 
 ADDRESS_FIELD = "dial"
 """Address of the backend, as "host:port"."""
 
 ZONE_FIELD = "site"
-"""Availability zone."""
+"""Availability zone of the backend."""
 
 CELL_FIELD = "block"
-"""Number of the failure domain within the zone."""
+"""Number of the backend's cell, a failure domain within the zone."""
 
 STARTED_AT_FIELD = "born_ms"
-"""Start of the backend's process, in Unix milliseconds."""
+"""Start time of the backend's process, in Unix milliseconds."""
 
 STATE_FIELD = "health"
 """State of the endpoint, one of the names in `ENDPOINT_STATES`."""
@@ -52,27 +52,27 @@
     "draining": EndpointState.DRAINING,
     "removed": EndpointState.REMOVED,
 }
-"""State of an endpoint, by its name in `STATE_FIELD`."""
+"""Endpoint states by their names in `STATE_FIELD`."""
 
 MESSAGE_PREFIX = b'{"%b"' % VERSION_FIELD.encode()
-"""How each message begins, on a line of its own."""
+"""First bytes of each message, which begins on a new line."""
 
 BACKEND_ID_BYTES = 8
-"""Length of a backend id, in bytes: 64 bits make a collision within one list practically impossible."""
+"""Length of a backend id, in bytes; 64 bits make a collision within a list practically impossible."""
 
 CELL_LIMIT = 2**63
-"""Cell numbers lie below this and not below its negative: they fit a signed 64-bit integer."""
+"""Cell numbers are at least `-CELL_LIMIT` and less than `CELL_LIMIT`: they fit a signed 64-bit integer."""
 
 MALFORMED_DATA_ERRORS = (KeyError, TypeError, ValueError, AttributeError, OverflowError)
-"""What reading a field raises where the data has not the expected shape."""
+"""Exceptions raised by reading a field of data that does not have the expected shape."""
 
 
 class EndpointListError(GatewayError):
-    """Discovery sent what its protocol does not allow; the previous list stays in force."""
+    """Discovery sent data that its protocol does not allow; the previous list stays in effect."""
 
 
 class ListedEndpoint(NamedTuple):
-    """An endpoint of the list and the address at which it is reached."""
+    """An endpoint of the list and its network address."""
 
     endpoint: Endpoint
     address: Address
@@ -80,23 +80,23 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """A list that was parsed in one piece, and its version."""
+    """An endpoint list that was parsed as a whole, and its version."""
 
     version: int
     endpoints: tuple[ListedEndpoint, ...]
 
 
 class EndpointListMessage:
-    """One message of a watch, parsed a batch of endpoints at a time.
+    """A message of a watch, which is parsed in batches of endpoints.
 
-    `version`, `is_snapshot` and `is_kind_known` hold for what has been parsed so far: discovery may send the
+    `version`, `is_snapshot` and `is_kind_known` reflect what has been parsed so far: discovery may send the
     version and the kind before or after the endpoints.
     """
 
     __slots__ = ("_fields", "_text")
 
     def __init__(self, text: bytes) -> None:
-        """Raises EndpointListError if the message is not UTF-8."""
+        """Decode the message. Raises EndpointListError if it is not UTF-8."""
         try:
             self._text = text.decode()
         except UnicodeDecodeError as error:
@@ -106,7 +106,8 @@
     def batches(self, size: int) -> Iterator[tuple[ListedEndpoint, ...]]:
         """Parse the message and yield its endpoints, `size` at a time.
 
-        Raises EndpointListError where it is malformed; batches before that place have been yielded by then.
+        Raises EndpointListError if the message is malformed; the batches before the malformed place have been
+        yielded by then.
         """
         try:
             for entries in iterate_array(self._text, ENDPOINTS_FIELD, size, self._fields):
@@ -116,28 +117,28 @@
 
     @property
     def version(self) -> int:
-        """Version of the list with this message applied. Raises EndpointListError if there is none."""
+        """Version of the list after this message is applied. Raises EndpointListError if it has none."""
         return parse_version(self._fields)
 
     @property
     def is_kind_known(self) -> bool:
-        """Whether it is known by now if the message is a snapshot or a delta."""
+        """Whether the parsed part tells if the message is a snapshot or a delta."""
         return IS_SNAPSHOT_FIELD in self._fields
 
     @property
     def is_snapshot(self) -> bool:
-        """Whether the message replaces the list; else it changes the endpoints that it lists."""
+        """Whether the message replaces the list; otherwise it changes only the endpoints that it contains."""
         return bool(self._fields.get(IS_SNAPSHOT_FIELD))
 
 
 def backend_id_of(host: str) -> int:
-    """Return the id of the backend with this host name: the same at every gateway and after every start."""
+    """Return the backend id of a host name, which is the same on all gateways and after each restart."""
     digest = hashlib.blake2b(host.encode(), digest_size=BACKEND_ID_BYTES).digest()
     return int.from_bytes(digest, "big")
 
 
 def parse_endpoint(raw: Any) -> ListedEndpoint:
-    """Parse one entry of the list. Raises EndpointListError if it is malformed."""
+    """Parse an entry of the list. Raises EndpointListError if it is malformed."""
     try:
         endpoint = Endpoint(
             backend_id=backend_id_of(raw[HOST_FIELD]),
@@ -152,9 +153,10 @@
 
 
 def parse_cell(raw: Any) -> int:
-    """Return the cell number of an entry, 0 if it has none.
+    """Return the cell number of an entry, or 0 if it has none.
 
-    Raises EndpointListError if the number is out of range, or one of `MALFORMED_DATA_ERRORS` if it is none.
+    Raises EndpointListError if the number is out of range, or one of `MALFORMED_DATA_ERRORS` if the value is
+    not a number.
     """
     cell = int(raw.get(CELL_FIELD) or 0)
     if not -CELL_LIMIT <= cell < CELL_LIMIT:
@@ -163,12 +165,12 @@
 
 
 def parse_endpoints(entries: Iterable[Any]) -> tuple[ListedEndpoint, ...]:
-    """Parse entries of the list. Raises EndpointListError if one is malformed."""
+    """Parse entries of the list. Raises EndpointListError if any of them is malformed."""
     return tuple(parse_endpoint(entry) for entry in entries)
 
 
 def parse_version(raw: Any) -> int:
-    """Return the version of a list. Raises EndpointListError if it has none."""
+    """Return the version of a list. Raises EndpointListError if it is missing or not a number."""
     try:
         return int(raw[VERSION_FIELD])
     except MALFORMED_DATA_ERRORS as error:
@@ -176,7 +178,7 @@
 
 
 def parse_endpoint_list(raw: Any) -> EndpointList:
-    """Parse a list that is already decoded from JSON. Raises EndpointListError if it is malformed."""
+    """Parse a list that has been decoded from JSON. Raises EndpointListError if it is malformed."""
     version = parse_version(raw)
     try:
         entries = iter(raw.get(ENDPOINTS_FIELD) or ())
@@ -186,7 +188,7 @@
 
 
 def _malformed(expected: str, raw: Any, error: Exception) -> EndpointListError:
-    """Return the error for data that is not what was expected, with the cause and an extract of the data."""
+    """Return an error that names the expected data and the cause, with an excerpt of the actual data."""
     return EndpointListError(
         f"expected {expected}, got {reprlib.repr(raw)} ({type(error).__name__}: {error})"
     )
--- a/gateway/network/discovery/reopening.py
+++ b/gateway/network/discovery/reopening.py
@@ -1,6 +1,6 @@
-"""When the next call to discovery is due.
+"""Schedule of the calls to discovery.
 
-The delays of each way in which a call can fail, and of the calls after it, add up to less than
+For each way in which a call can fail, the delays of that call and of the calls after it add up to less than
 `NOTIFICATION_BOUND_S`; the sums are in docs/endings.md.
 """
 
@@ -10,43 +10,43 @@
 from .call import CallOutcome, CallResult, WatchCall
 
 HEDGE_DELAY_S = 2.5
-"""Seconds after which a hedged call is opened beside a polled one without an answer, which may be lost."""
+"""Time, in seconds, after which a hedged call is opened, as an unanswered polled call may be lost."""
 
 MIN_REOPEN_DELAY_S = 0.1
-"""First delay, in seconds, before a watch is reopened after its call failed."""
+"""Minimum delay, in seconds, before a watch is reopened after a failed call."""
 
 MAX_REOPEN_DELAY_S = 1.0
-"""Longest delay, in seconds, before a watch is reopened after its call failed."""
+"""Maximum delay, in seconds, before a watch is reopened after a failed call."""
 
 
 class ReopenSchedule:
-    """Schedules the calls to discovery; times are seconds on the event loop's clock.
+    """Schedules the calls to discovery; times are in seconds on the event loop's clock.
 
-    With `polls_discovery`, each call is work for discovery: the first calls of a fleet are spread, a call
-    that was rejected as overloaded is repeated after a backoff, and a hedged call is opened only once the one
-    before it is likely lost. Without it, calls go to an agent beside the gateway, which answers at once and
-    at no cost, and are repeated every `retry_interval_s`.
+    With `polls_discovery`, each call costs discovery work: the first calls of a fleet are spread, a call that
+    was rejected as overloaded is retried after a backoff, and a hedged call is opened only once the call
+    before it is probably lost. Otherwise, calls go to a local agent, which answers at once and at no cost,
+    and are repeated every `retry_interval_s`.
     """
 
     def __init__(self, backoff: Backoff, *, polls_discovery: bool, retry_interval_s: float) -> None:
         self.next_call_at = 0.0
-        """When the next call is due; in the past: at once."""
+        """Time at which the next call is due; a time in the past means at once."""
         self._backoff = backoff
         self._polls_discovery = polls_discovery
         self._retry_interval_s = retry_interval_s
-        self._reopen_delay_s = MIN_REOPEN_DELAY_S  # after the last call that ended
+        self._reopen_delay_s = MIN_REOPEN_DELAY_S  # delay after the last call that ended
 
     def delay_first_call(self, now: float) -> None:
-        """Spread the first calls of a fleet of polling gateways that starts together."""
+        """Delay the first call of a polling gateway, to spread the calls of a fleet that starts together."""
         if self._polls_discovery:
             self.next_call_at = now + self._backoff.initial_delay()
 
     def make_call_due(self) -> None:
-        """Make the next call due: discovery has moved."""
+        """Make the next call due at once, as the address of discovery has changed."""
         self.next_call_at = 0.0
 
     def on_call_opened(self, now: float) -> None:
-        """Schedule the hedged call that is opened unless the call opened now is answered before."""
+        """Schedule the hedged call that is opened unless the call just opened is answered first."""
         self.next_call_at = now + (HEDGE_DELAY_S if self._polls_discovery else self._retry_interval_s)
 
     def on_call_ended(
@@ -61,12 +61,12 @@
         """Schedule the call after one that has ended, and return the delay, in seconds.
 
         Args:
-            call: the call that has ended.
+            call: the call that ended.
             result: how it ended.
-            now: the time of its end.
-            snapshot_delivered: whether the call requested a snapshot, and it was delivered.
-            has_unanswered_calls: whether later calls are open. A polled one still waits in discovery's queue,
-                and its own schedule holds.
+            now: the time at which it ended.
+            snapshot_delivered: whether the call requested a snapshot and delivered it.
+            has_unanswered_calls: whether later calls are open and unanswered. A polled one still waits in
+                discovery's queue, and the schedule set when it was opened stays in effect.
         """
         if call.is_answered:
             self._backoff.reset()
@@ -79,7 +79,7 @@
         if result.outcome is CallOutcome.OVERLOADED:
             return self._backoff.next_delay()
         if snapshot_delivered:
-            return 0.0  # its changes are watched next
+            return 0.0  # watch the changes after the snapshot at once
         if not self._polls_discovery:
             return self._retry_interval_s
         if call.is_answered:
--- a/gateway/network/discovery/stream.py
+++ b/gateway/network/discovery/stream.py
@@ -1,4 +1,4 @@
-"""One HTTP call to discovery: the JSON objects of its response, as they arrive."""
+"""An HTTP call to discovery, which yields the JSON objects of the response as they arrive."""
 
 from __future__ import annotations
 
@@ -14,40 +14,40 @@
 from .endpoint_list import MESSAGE_PREFIX
 
 LIST_PATH = "/catalog/members"
-"""Path of the endpoint list at discovery; without a query, the response is a snapshot."""
+"""Path of the endpoint list; without a query, the response is a snapshot."""
 
 WATCH_QUERY = "stream=1&index="
-"""Query of a watch; the version whose later changes are requested follows."""
+"""Query of a watch, to which the version after which changes are requested is appended."""
 
 CONNECT_TIMEOUT_S = 1.0
-"""Longest time, in seconds, for a connection to be established; a part of the sums in docs/endings.md."""
+"""Timeout, in seconds, for establishing a connection; part of the sums in docs/endings.md."""
 
 HEARTBEAT_TIMEOUT_S = 2.75
-"""Longest time, in seconds, without a byte: discovery sends an empty line as a heartbeat every 2 s.
+"""Maximum time, in seconds, without data: discovery sends an empty line as a heartbeat every 2 s.
 
-A part of the sums in docs/endings.md.
+Part of the sums in docs/endings.md.
 """
 
 READ_SIZE = 65_536
-"""Most bytes that are read at once."""
+"""Maximum number of bytes per read."""
 
 OK_STATUS = 200
-"""The only HTTP status of a response with a list."""
+"""The only HTTP status of responses that contain a list."""
 
 OVERLOAD_STATUSES = frozenset({429, 503})
-"""HTTP statuses by which discovery sheds load."""
+"""HTTP statuses with which discovery sheds load."""
 
 
 class DiscoveryError(GatewayError):
-    """Discovery answered a call with an error status; the previous list stays in force."""
+    """Discovery answered a call with an error status; the previous list stays in effect."""
 
 
 class DiscoveryOverloadedError(DiscoveryError):
-    """Discovery rejected a call because it is overloaded: retrying at once would prolong the overload."""
+    """Discovery rejected a call because of overload, which an immediate retry would prolong."""
 
 
 def list_target(version: int | None) -> str:
-    """Return the request target of a watch from a version on, or of a snapshot if no version is known."""
+    """Return the request target of a watch for changes after `version`, or of a snapshot if it is None."""
     if version is None:
         return LIST_PATH
     return f"{LIST_PATH}?{WATCH_QUERY}{version}"
@@ -56,17 +56,17 @@
 async def stream_objects(
     address: Address, target: str, on_accepted: Callable[[], None]
 ) -> AsyncGenerator[bytes, None]:
-    """Call discovery and yield the text of each JSON object of its response until the response ends.
+    """Call discovery and yield the text of each JSON object of the response until the response ends.
 
-    `on_accepted` is called once the response begins, with a status that promises a list. Close the generator
-    to close the connection.
+    `on_accepted` is called once a response with a success status begins. Closing the generator closes the
+    connection.
 
     Raises:
-        OSError: the connection failed; TimeoutError, which is one, if it could not be established in time or
-            heartbeats are missing.
-        h11.ProtocolError: the response is not HTTP.
+        OSError: the connection failed; its subclass TimeoutError, if the connection was not established in
+            time or heartbeats are missing.
+        h11.ProtocolError: the response is not valid HTTP.
         DiscoveryError: the response has an error status.
-        JsonStreamError: an object was cut short or is too long.
+        JsonStreamError: an object is truncated or too long.
     """
     async with asyncio.timeout(CONNECT_TIMEOUT_S):
         reader, writer = await asyncio.open_connection(address.host, address.port)
@@ -100,9 +100,9 @@
 async def _next_event(
     http: h11.Connection, reader: asyncio.StreamReader
 ) -> h11.Event | type[h11.NEED_DATA] | type[h11.PAUSED]:
-    """Return the next HTTP event, reading from the connection as long as one is incomplete."""
+    """Return the next HTTP event, reading from the connection until one is complete."""
     while (event := http.next_event()) is h11.NEED_DATA:
-        # A peer that was cut off sends neither FIN nor RST: only the missing heartbeats show it.
+        # A peer that is cut off sends neither FIN nor RST; only missing heartbeats show it.
         async with asyncio.timeout(HEARTBEAT_TIMEOUT_S):
             http.receive_data(await reader.read(READ_SIZE))
     return event
--- a/gateway/network/discovery/watch.py
+++ b/gateway/network/discovery/watch.py
@@ -1,4 +1,4 @@
-"""Watching the endpoint list: which calls to discovery are open, and which of them is followed."""
+"""Watch of the endpoint list: opens calls to discovery and delivers the updates of the active one."""
 
 from __future__ import annotations
 
@@ -22,19 +22,19 @@
 log = logging.getLogger(__name__)
 
 MAX_UNANSWERED_CALLS = 4
-"""Most calls that are open beside each other without an answer; for a further one the oldest is cancelled."""
+"""Maximum number of unanswered calls open at the same time; opening another one cancels the oldest."""
 
 
 class EndpointWatcher:
-    """Follows the endpoint list from a version on and delivers each update to a listener.
+    """Watches the endpoint list from a version on and delivers each update to a listener.
 
-    With `polls_discovery`, the gateway calls discovery itself; else an agent beside the gateway pushes the
-    list. A drain that the agent has received counts as notified, so another call is opened beside one without
-    an answer every `retry_interval_s`. The first call that is answered is followed. `ReopenSchedule` holds
-    the times of the calls.
+    With `polls_discovery`, the gateway calls discovery itself; otherwise a local agent pushes the list. A
+    drain that the agent has received counts as notified, so as long as no call to the agent is answered,
+    another one is opened every `retry_interval_s`. The first call that is answered becomes the active one,
+    and the others are cancelled. `ReopenSchedule` determines when calls are opened.
 
     Attributes:
-        address: where discovery is called.
+        address: the address of discovery.
         version: the last version that was delivered completely; None if a snapshot has to be read next.
         snapshot_received: set once a snapshot has been delivered.
     """
@@ -62,9 +62,9 @@
         self._state_changed = asyncio.Event()
 
     def move_to(self, address: Address) -> None:
-        """Follow another address from now on; the old one is followed until the new one answers.
+        """Watch at another address from now on; the old watch stays active until the new address answers.
 
-        Its versions need not be those of the old one, so a snapshot is read before its changes.
+        Versions at the new address may differ from those at the old one, so a snapshot is read first.
         """
         log.info("discovery watch moves from %s to %s; reading a snapshot there", self.address, address)
         self.address = address
@@ -77,7 +77,7 @@
         self._state_changed.set()
 
     async def run(self) -> None:
-        """Keep a call open until cancelled, which closes all calls."""
+        """Keep a call to discovery open until this task is cancelled, which closes all calls."""
         if self.version is not None:
             self._schedule.delay_first_call(asyncio.get_running_loop().time())
         try:
@@ -98,7 +98,7 @@
         return self._unanswered_calls + active_calls
 
     def _open_call_if_due(self) -> float | None:
-        """Open a call if one is due; return the seconds until the next one, None if none is needed."""
+        """Open a call if one is due. Return the seconds until the next one, or None if none is needed."""
         if self._active_call is not None and self._active_call.address == self.address:
             return None
         loop = asyncio.get_running_loop()
@@ -114,22 +114,22 @@
         call.start(self._run_call(call), self._on_call_done)
         self._unanswered_calls.append(call)
 
-    # ---- a call's course ----
+    # ---- running a call ----
 
     async def _run_call(self, call: WatchCall) -> CallResult:
-        """Deliver the updates of a call until it ends."""
+        """Deliver the updates of a call until it ends, and return its result."""
         try:
             return await self._deliver_all(call)
         except DiscoveryOverloadedError as error:
             return CallResult.from_error(CallOutcome.OVERLOADED, error)
         except (EndpointListError, JsonStreamError) as error:
-            # The changes of a malformed event are lost, so a snapshot is read next.
+            # The changes in a malformed message are lost, so a snapshot is read next.
             self.version = None
             return CallResult.from_error(CallOutcome.FAILED, error)
-        except (OSError, h11.ProtocolError, DiscoveryError) as error:  # OSError: time-outs too
+        except (OSError, h11.ProtocolError, DiscoveryError) as error:  # OSError includes TimeoutError
             return CallResult.from_error(CallOutcome.FAILED, error)
         except Exception:
-            # Without a watch the list goes stale and drains are missed: the watch outlives any fault.
+            # Without a watch, the list goes stale and drains are missed, so it continues after any error.
             log.exception("update from discovery at %s not applied; reading a snapshot", call.address)
             self.version = None
             return CallResult(CallOutcome.FAILED)
@@ -146,13 +146,13 @@
 
     def _on_delivered(self, call: WatchCall, update: DeliveredUpdate) -> None:
         if call.address != self.address:
-            return  # the versions of an old address mean nothing at the new one
+            return  # versions of the old address are meaningless at the new one
         self.version = update.version
         if update.is_snapshot:
             self.snapshot_received.set()
 
     def _activate(self, call: WatchCall) -> None:
-        """Follow a call from now on, as it has been answered, and cancel all others."""
+        """Make a call that has been answered the active one, and cancel all others."""
         other_calls = [other for other in self._all_calls() if other is not call]
         call.mark_answered()
         self._active_call = call
@@ -161,7 +161,7 @@
             other.cancel()
         self._state_changed.set()
 
-    # ---- a call's end ----
+    # ---- after a call ----
 
     def _on_call_done(self, call: WatchCall, task: asyncio.Task[CallResult]) -> None:
         if call is self._active_call:
@@ -186,7 +186,7 @@
         is_repeated = result == self._last_result and not call.is_answered
         self._last_result = result
         if is_repeated:
-            return  # one line for the same failure again and again
+            return  # a failure that repeats is logged only once
         log.info(
             "discovery watch at %s %s after %.1f s; reopening in %.1f s",
             call.address,
--- a/tests/network/counter/test_counter_client.py
+++ b/tests/network/counter/test_counter_client.py
@@ -114,7 +114,7 @@
 
 @runs_in_loop
 async def test_late_response_belongs_to_its_own_call() -> None:
-    """A late response must not be matched to the next call, whose time or name is another."""
+    """Matched to the next call, a late response would report the total of another time or name."""
     may_respond = asyncio.Event()
 
     async def respond_late_to_first(fields: list[bytes]) -> ScriptedReply:
