--- a/tests/network/discovery/test_delivery.py
+++ b/tests/network/discovery/test_delivery.py
@@ -89,7 +89,7 @@
 
 
 @runs_in_loop
-async def test_truncated_long_list_is_not_applied() -> None:
+async def test_malformed_long_list_is_not_applied() -> None:
     """The policy has its first parts by then; a complete snapshot follows."""
     async with open_watch() as watch:
         policy = GatewayPolicy(settings(), 1)
