--- a/tests/network/discovery/test_backoff.py
+++ b/tests/network/discovery/test_backoff.py
@@ -1,4 +1,4 @@
-"""Backoff of a fleet that polls a service with little capacity, in virtual time."""
+"""Backoff of a fleet that polls a service of low capacity, simulated in virtual time."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from gateway.network.discovery.backoff import MAX_DELAY_S, NOTIFICATION_BOUND_S, Backoff
 
 QUEUE_TIMEOUT_S = 2.0
-"""Longest time, in seconds, in the service's queue; a call that waits longer is rejected at its turn."""
+"""Maximum queueing time of a call, in seconds; a call that would wait longer is rejected."""
 
 LOOSE_MAX_DELAY_S = 10.0
-"""Cap on the delays, in seconds, above the backoff's own."""
+"""A `max_delay_s`, in seconds, above `MAX_DELAY_S`, so that it does not lower the cap."""
 
 
 def count_answered(gateway_count: int, capacity_per_s: float, until_s: float) -> int:
     """Return how many gateways of a fleet that starts together are answered by `until_s`.
 
-    The service has one queue, in which a call that has waited too long still takes its turn: a fleet without
-    backoff would fill it with such calls, and none would be answered.
+    The service has one queue, in which a call that has waited too long still takes service time. A fleet
+    without backoff would fill the queue with such calls, and none would be answered.
     """
     rng = random.Random(7)
     free_at = 0.0
@@ -58,14 +58,14 @@
 
     assert 0.375 <= delays[0] <= 0.75
     assert all(MAX_DELAY_S / 2 <= delay <= MAX_DELAY_S for delay in delays[3:])
-    assert max(delays) - min(delays[3:]) > MAX_DELAY_S / 3, "gateways rejected together return together"
+    assert max(delays) - min(delays[3:]) > MAX_DELAY_S / 3, "gateways rejected together retry together"
     assert delay_after_reset <= 0.75
 
 
 @pytest.mark.parametrize("gateway_count", [1, 40, 200, 3_700])
 @pytest.mark.parametrize("seed", range(20))
 def test_two_consecutive_delays_leave_time_for_the_response(gateway_count: int, seed: int) -> None:
-    """A change that discovery receives meanwhile counts as notified, whether it was delivered or not."""
+    """A change counts as notified after `NOTIFICATION_BOUND_S`, even if it was not delivered by then."""
     backoff = Backoff(gateway_count, LOOSE_MAX_DELAY_S, random.Random(seed))
 
     delays = [backoff.next_delay() for _ in range(20)]
@@ -75,7 +75,7 @@
 
 @pytest.mark.parametrize(("gateway_count", "max_calls_per_s"), [(40, 25), (200, 115), (3_700, 2_100)])
 def test_backoff_bounds_the_call_rate_of_a_rejected_fleet(gateway_count: int, max_calls_per_s: int) -> None:
-    """The rate grows with the fleet, as each gateway retries within `MAX_DELAY_S`."""
+    """The bound grows with the fleet, because each gateway retries within `MAX_DELAY_S`."""
     rng = random.Random(7)
     fleet = [Backoff(gateway_count, LOOSE_MAX_DELAY_S, rng) for _ in range(gateway_count)]
 
--- a/tests/network/discovery/test_delivery.py
+++ b/tests/network/discovery/test_delivery.py
@@ -1,4 +1,4 @@
-"""Delivery of endpoint lists in parts, with turns of the event loop between them."""
+"""Delivery of endpoint lists in parts, between which the event loop runs other tasks."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 from tests.support.watch_harness import WatchHarness, open_watch
 
 LIST_LENGTH = 1_000
-"""Endpoints of a list that is far longer than what is delivered in one turn."""
+"""Number of endpoints of a long list: many times what is delivered in one turn of the event loop."""
 
 
 class DeliveredPart(NamedTuple):
-    """A part of an update: how many endpoints it had, and where it stood."""
+    """A delivered part of an update: its number of endpoints, and whether it was the first or last part."""
 
     size: int
     is_first: bool
@@ -38,7 +38,7 @@
 @pytest.mark.parametrize("order", [["seq", "whole", "hosts"], ["hosts", "whole", "seq"]])
 @runs_in_loop
 async def test_long_list_is_delivered_in_parts_with_turns_between(order: list[str]) -> None:
-    """In one piece, a long list would block the event loop and delay all requests."""
+    """Delivered in one piece, a long list would block the event loop and delay all requests."""
     async with WatchHarness(version=None) as watch:
         parts: list[DeliveredPart] = []
         turns_of_parts: list[int] = []
@@ -63,7 +63,7 @@
         assert max(part.size for part in parts) <= ENDPOINTS_PER_TURN
         assert [part.is_first for part in parts] == [True] + [False] * (len(parts) - 1)
         assert [part.is_last for part in parts] == [False] * (len(parts) - 1) + [True]
-        assert max(Counter(turns_of_parts).values()) <= 2, "the event loop runs between parts"
+        assert max(Counter(turns_of_parts).values()) <= 2, "the event loop must run between parts"
 
 
 @runs_in_loop
@@ -90,7 +90,7 @@
 
 @runs_in_loop
 async def test_malformed_long_list_is_not_applied() -> None:
-    """The policy has its first parts by then; a complete snapshot follows."""
+    """The policy gets the first parts of the malformed list, but applies only the snapshot after it."""
     async with open_watch() as watch:
         policy = GatewayPolicy(settings(), 1)
         last_flags: list[bool] = []
--- a/tests/network/discovery/test_endpoint_endings.py
+++ b/tests/network/discovery/test_endpoint_endings.py
@@ -1,4 +1,4 @@
-"""Ways in which an endpoint watch ends or stays unanswered, on real sockets, while a change is due."""
+"""Watches that end or stay unanswered while a change is pending, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -32,22 +32,22 @@
 
 FIRST_SNAPSHOT_TIMEOUT = "gateway.network.process.server.FIRST_SNAPSHOT_TIMEOUT_S"
 
-# ---- an agent that does not answer ----
+# ---- an unresponsive agent ----
 
 
 @runs_in_loop
 async def test_unanswered_call_is_hedged_and_the_first_response_is_followed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What the agent has at its return counts as notified at once: a lost call must not delay it."""
+    """Changes that the agent has when it responds again count as notified: lost calls must not delay them."""
     monkeypatch.setattr("gateway.network.discovery.stream.HEARTBEAT_TIMEOUT_S", 3600.0)
     agent = PausedDiscovery()
     async with WatchHarness(service=agent, retry_interval_s=0.01) as watch:
         await wait_until(lambda: agent.calls > MAX_UNANSWERED_CALLS)
-        assert len(agent.open) <= MAX_UNANSWERED_CALLS + 1, "their number is bounded"
+        assert len(agent.open) <= MAX_UNANSWERED_CALLS + 1, "the number of open calls is bounded"
 
         agent.resumed.set()
-        await wait_until(lambda: len(agent.open) == 1)  # all others are closed
+        await wait_until(lambda: len(agent.open) == 1)  # the other calls are closed
 
         agent.watches = [writer for writer in agent.watches if writer in agent.open]
         agent.send_update(42, endpoint_entry("h0", 1, "draining"))
@@ -56,7 +56,7 @@
 
 @runs_in_loop
 async def test_start_waits_for_the_agent_s_endpoint_list(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The cached list may be stale, and a drain that the agent has received counts as notified."""
+    """The cached list may be stale, but a drain that the agent has received counts as notified."""
     monkeypatch.setattr(FIRST_SNAPSHOT_TIMEOUT, 3600.0)
     drained = FakeBackend()
     other = FakeBackend()
@@ -66,7 +66,7 @@
 
     async def resume_agent() -> None:
         await wait_until(lambda: agent.calls)
-        assert not harness.port, "no client may connect yet"
+        assert not harness.port, "the gateway must not listen yet"
         first, second = harness.hosts()
         agent.snapshot["hosts"] = [{**first, "health": "draining"}, second]
         agent.resumed.set()
@@ -113,7 +113,7 @@
 
 @runs_in_loop
 async def test_move_to_an_unresponsive_address_keeps_the_old_watch() -> None:
-    """A drain that arrives there meanwhile counts as notified."""
+    """A drain that arrives at the old address in the meantime counts as notified and must be delivered."""
     async with open_watch(service=FakeDiscovery(), retry_interval_s=0.01) as watch:
         new_discovery = PausedDiscovery()
         await new_discovery.start()
@@ -132,7 +132,7 @@
         await new_discovery.stop()
 
 
-# ---- watch events that are indented or cut short ----
+# ---- indented and truncated watch events ----
 
 
 @pytest.mark.parametrize("indent", [None, 0, 2])
--- a/tests/network/discovery/test_endpoint_list.py
+++ b/tests/network/discovery/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Parsing of the endpoint list."""
+"""Parser of the endpoint list."""
 
 from __future__ import annotations
 
--- a/tests/network/discovery/test_endpoint_watch.py
+++ b/tests/network/discovery/test_endpoint_watch.py
@@ -1,4 +1,4 @@
-"""Watching the endpoint list, over loopback sockets."""
+"""The watch of the endpoint list, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
 @runs_in_loop
 async def test_watch_continues_after_an_error_of_the_listener() -> None:
     async with open_watch() as watch:
-        errors = [RuntimeError("not now")]
+        errors = [RuntimeError("the listener failed")]
 
         def fail_once(
             kind: UpdateKind, endpoints: tuple[ListedEndpoint, ...], is_first: bool, is_last: bool
@@ -113,14 +113,14 @@
 
 @runs_in_loop
 async def test_watch_without_heartbeats_is_reopened(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A peer that is cut off sends no end, and the list would go stale."""
+    """A peer that is cut off does not close the connection, and the list would go stale."""
     monkeypatch.setattr(endpoint_stream, "HEARTBEAT_TIMEOUT_S", 0.05)
     async with open_watch() as watch:
         await watch.wait_for_watches(2)
 
 
 class OverloadedDiscovery(FakeDiscovery):
-    """Rejects each call as overloaded."""
+    """Rejects all calls as overloaded."""
 
     async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
@@ -129,7 +129,7 @@
 
 
 class RecordingBackoff(Backoff):
-    """Records its delays; the first two are cut to nothing and the third one outlasts the test."""
+    """Records its delays; returns 0 for the first two, and for the third one more than the test takes."""
 
     __slots__ = ("delays",)
 
@@ -144,7 +144,7 @@
 
 @runs_in_loop
 async def test_overloaded_discovery_is_called_again_after_the_backoff_only() -> None:
-    """A fleet that polls again at a fixed interval prolongs the overload of discovery."""
+    """A fleet that retried at a fixed interval would prolong the overload of discovery."""
     backoff = RecordingBackoff()
     async with WatchHarness(service=OverloadedDiscovery(), backoff=backoff) as watch:
         await wait_until(lambda: len(backoff.delays) == 3)
@@ -171,18 +171,18 @@
         assert re.fullmatch(pattern, message)
 
 
-# ---- discovery moves ----
+# ---- change of the address ----
 
 
 @runs_in_loop
 async def test_move_reads_a_snapshot_at_the_new_address_first() -> None:
     async with open_watch() as watch:
         await check_move(watch, "h0")
-        await check_move(watch, "h1")  # a second move likewise
+        await check_move(watch, "h1")  # a second change works as well
 
 
 async def check_move(watch: WatchHarness, new_host: str) -> None:
-    """Move a watch to a new discovery that lists one host, and close the old discovery."""
+    """Move a watch to a new discovery with one host; check its snapshot and the end of the old watch."""
     old_discovery = watch.service
     new_discovery = FakeDiscovery()
     new_discovery.snapshot = list_message(7, endpoint_entry(new_host, 1))
@@ -210,7 +210,7 @@
         assert watch.service.requests[1:] == [LIST_TARGET, watch_target(1)]
 
 
-# ---- a gateway and its endpoint list ----
+# ---- a gateway with an endpoint list ----
 
 
 @runs_in_loop
@@ -224,7 +224,7 @@
 
         draining = endpoint_entry("h0", first.port, "draining")
         harness.discovery.send_update(42, draining, endpoint_entry("h9", second.port))
-        await wait_until(lambda: first.ended)  # the idle connection closes as the delta is applied
+        await wait_until(lambda: first.ended)  # the idle connection is closed when the delta is applied
         for number in range(3):
             assert await harness.request(peer, id=b"%d" % number) == b"value"
 
@@ -253,5 +253,5 @@
 
         assert len(first.received) == count_before
         assert len(second.received) == 6
-        assert len(harness.discovery.watches) == 1, "the list was accepted"
+        assert len(harness.discovery.watches) == 1, "the list was accepted, so the watch was not reopened"
     await second.stop()
--- a/tests/network/discovery/test_notification_bound.py
+++ b/tests/network/discovery/test_notification_bound.py
@@ -1,4 +1,4 @@
-"""A change is delivered within 6 s after discovery has it, whatever failed before: in virtual time."""
+"""A change is delivered within 6 s after discovery has received it, in spite of faults; in virtual time."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 from tests.support.watch_harness import WatchHarness
 
 GATEWAY_COUNT = 200
-"""Size of a fleet whose backoff is at its cap from the first rejection on."""
+"""Number of gateways in a fleet that is so large that its first backoff delay is at the cap."""
 
 POLLED_RESPONSE_S = 0.4
-"""Seconds in which a polled discovery responds; an agent responds at once."""
+"""Response time, in seconds, of a polled discovery; an agent responds at once."""
 
 HEARTBEAT_INTERVAL_S = 2.0
-"""Seconds between two heartbeats of an open watch."""
+"""Interval, in seconds, between the heartbeats of an open watch."""
 
 SEEDS = range(4)
-"""Seeds of the backoff's jitter."""
+"""Seeds for the jitter of the backoff."""
 
 
 class Mode(Enum):
-    """What the fake discovery does with a call."""
+    """How the fake discovery treats a call."""
 
     SERVE = "serve"
     REJECT = "reject"
@@ -41,14 +41,14 @@
 
 
 class FaultyDiscovery(FakeDiscovery):
-    """Serves, rejects or leaves calls unanswered, as its mode says; sends heartbeats while it serves."""
+    """Serves, rejects or leaves calls unanswered, according to `mode`; sends heartbeats to open watches."""
 
     def __init__(self, response_s: float) -> None:
         super().__init__()
         self.response_s = response_s
         self.mode = Mode.SERVE
         self.pending_rejections = 0
-        """Calls that are rejected next although the mode is to serve."""
+        """Number of the next calls that are rejected although `mode` is `SERVE`."""
         self.called = asyncio.Event()
         self.heartbeat_sent = asyncio.Event()
         self.hung_watches: list[asyncio.StreamWriter] = []
@@ -59,7 +59,7 @@
         await self.called.wait()
 
     def add_drain(self) -> float:
-        """Add a drain to the list, and return the time."""
+        """Add a drain to the list, and return the time on the event loop's clock."""
         self.snapshot = list_message(42, endpoint_entry("h0", 1, "draining"))
         return asyncio.get_running_loop().time()
 
@@ -101,11 +101,11 @@
 
 
 Fault = Callable[[FaultyDiscovery, EndpointWatcher], Awaitable[float]]
-"""Causes a fault and then adds a drain to discovery's list; returns the time of the drain."""
+"""Causes a fault, adds a drain to the list of discovery and returns the time of the drain."""
 
 
 async def fail_calls(discovery: FaultyDiscovery, mode: Mode, count: int) -> None:
-    """Let calls fail, and return at the `count`th of them."""
+    """Close all watches and set `mode`; return when `count` further calls have arrived."""
     discovery.mode = mode
     discovery.close_connections()
     for _ in range(count):
@@ -197,7 +197,7 @@
 
 
 async def notification_delay(fault: Fault, seed: int, *, polls_discovery: bool) -> float:
-    """Return the seconds from a drain during a fault to its delivery."""
+    """Return the time, in seconds, from a drain during a fault to the delivery of the drain."""
     drain_delivered = asyncio.Event()
 
     def detect_drain(
@@ -219,7 +219,7 @@
 @pytest.mark.parametrize("fault", FAULTS)
 @pytest.mark.parametrize("polls_discovery", [False, True], ids=["pushed", "polled"])
 def test_drain_is_delivered_within_the_bound(polls_discovery: bool, fault: Fault) -> None:
-    """After a drain that is delivered too late, new work would go to a backend that has ended."""
+    """If a drain were delivered too late, new requests would go to a backend that has already stopped."""
     delays: list[float] = []
 
     async def scenario(seed: int) -> None:
