--- a/tests/network/discovery/test_backoff.py
+++ b/tests/network/discovery/test_backoff.py
@@ -1,4 +1,4 @@
-"""Backoff of a fleet that polls a service with little capacity, in virtual time."""
+"""Backoff of a fleet that polls a service of low capacity, simulated in virtual time."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 from gateway.network.discovery.backoff import MAX_DELAY_S, NOTIFICATION_BOUND_S, Backoff
 
 QUEUE_TIMEOUT_S = 2.0
-"""Longest time, in seconds, in the service's queue; a call that waits longer is rejected at its turn."""
+"""Maximum queueing time of a call, in seconds; a call that would wait longer is rejected."""
 
-MAX_POLL_AGE_S = 10.0
-"""Cap on the delays, in seconds, above the backoff's own."""
+LOOSE_MAX_DELAY_S = 10.0
+"""A `max_delay_s`, in seconds, above `MAX_DELAY_S`, so that it does not lower the cap."""
 
 
 def count_answered(gateway_count: int, capacity_per_s: float, until_s: float) -> int:
     """Return how many gateways of a fleet that starts together are answered by `until_s`.
 
-    The service has one queue, in which a call that has waited too long still takes its turn: a fleet without
-    backoff would fill it with such calls, and none would be answered.
+    The service has one queue, in which a call that has waited too long still takes service time. A fleet
+    without backoff would fill the queue with such calls, and none would be answered.
     """
     rng = random.Random(7)
     free_at = 0.0
     answered = 0
-    fleet = [Backoff(gateway_count, MAX_POLL_AGE_S, rng) for _ in range(gateway_count)]
+    fleet = [Backoff(gateway_count, LOOSE_MAX_DELAY_S, rng) for _ in range(gateway_count)]
     calls = [(backoff.initial_delay(), index) for index, backoff in enumerate(fleet)]
     heapq.heapify(calls)
     while calls and calls[0][0] < until_s:
@@ -41,7 +41,7 @@
 
 @pytest.fixture
 def backoff() -> Backoff:
-    return Backoff(10, MAX_POLL_AGE_S, random.Random(1))
+    return Backoff(10, LOOSE_MAX_DELAY_S, random.Random(1))
 
 
 @pytest.mark.parametrize(("capacity_per_s", "until_s"), [(20.0, 6.0), (8.0, 10.0), (6.0, 20.0)])
@@ -58,15 +58,15 @@
 
     assert 0.375 <= delays[0] <= 0.75
     assert all(MAX_DELAY_S / 2 <= delay <= MAX_DELAY_S for delay in delays[3:])
-    assert max(delays) - min(delays[3:]) > MAX_DELAY_S / 3, "gateways rejected together return together"
+    assert max(delays) - min(delays[3:]) > MAX_DELAY_S / 3, "gateways rejected together retry together"
     assert delay_after_reset <= 0.75
 
 
 @pytest.mark.parametrize("gateway_count", [1, 40, 200, 3_700])
 @pytest.mark.parametrize("seed", range(20))
 def test_two_consecutive_delays_leave_time_for_the_response(gateway_count: int, seed: int) -> None:
-    """A change that discovery receives meanwhile counts as notified, whether it was delivered or not."""
-    backoff = Backoff(gateway_count, MAX_POLL_AGE_S, random.Random(seed))
+    """A change counts as notified after `NOTIFICATION_BOUND_S`, even if it was not delivered by then."""
+    backoff = Backoff(gateway_count, LOOSE_MAX_DELAY_S, random.Random(seed))
 
     delays = [backoff.next_delay() for _ in range(20)]
 
@@ -75,9 +75,9 @@
 
 @pytest.mark.parametrize(("gateway_count", "max_calls_per_s"), [(40, 25), (200, 115), (3_700, 2_100)])
 def test_backoff_bounds_the_call_rate_of_a_rejected_fleet(gateway_count: int, max_calls_per_s: int) -> None:
-    """The rate grows with the fleet, as each gateway retries within `MAX_DELAY_S`."""
+    """The bound grows with the fleet, because each gateway retries within `MAX_DELAY_S`."""
     rng = random.Random(7)
-    fleet = [Backoff(gateway_count, MAX_POLL_AGE_S, rng) for _ in range(gateway_count)]
+    fleet = [Backoff(gateway_count, LOOSE_MAX_DELAY_S, rng) for _ in range(gateway_count)]
 
     call_count = 0
     for backoff in fleet:
@@ -89,8 +89,8 @@
 
 
 def test_first_delay_of_a_small_fleet_is_short() -> None:
-    assert Backoff(2, MAX_POLL_AGE_S, random.Random(1)).next_delay() < 0.2
+    assert Backoff(2, LOOSE_MAX_DELAY_S, random.Random(1)).next_delay() < 0.2
 
 
 def test_initial_delay_of_a_small_fleet_is_short() -> None:
-    assert Backoff(2, MAX_POLL_AGE_S, random.Random(1)).initial_delay() <= 0.2
+    assert Backoff(2, LOOSE_MAX_DELAY_S, random.Random(1)).initial_delay() <= 0.2
