--- a/gateway/network/clients/command_reader.py
+++ b/gateway/network/clients/command_reader.py
@@ -52,18 +52,18 @@
         "_reported_read_ahead_bytes",
         "_socket",
         "has_unparsed_input",
-        "is_discarding",
+        "is_discarding_input",
     )
 
     def __init__(
-        self, accepted: socket.socket, buffer: ReceiveBuffer, memory: ClientMemory, connected_at: float
+        self, client_socket: socket.socket, buffer: ReceiveBuffer, memory: ClientMemory, connected_at: float
     ) -> None:
-        self._socket = accepted
+        self._socket = client_socket
         self._buffer = buffer
         self._memory = memory
         self._parser = CommandParser()
         self.has_unparsed_input = False
-        self.is_discarding = False
+        self.is_discarding_input = False
         """Whether no further command is taken, and input is read only to detect the client's disconnect."""
         self._command_deadline: float | None = connected_at + COMMAND_TIMEOUT_MS  # None: between commands
         self._last_empty_read_at = -math.inf  # when all input had been read
@@ -74,16 +74,16 @@
         """Bytes buffered of commands that are not taken yet; 0 only between commands."""
         return self._parser.buffered_bytes
 
-    def has_capacity(self) -> bool:
+    def is_within_read_ahead_limits(self) -> bool:
         """Whether more may be received without exceeding the bounds on what is read ahead.
 
         The disconnect of a client that pipelines many requests must be seen behind them: they would otherwise
         be forwarded one after another although no client waits for their replies.
         """
         return (
-            self.is_discarding
+            self.is_discarding_input
             or self._parser.buffered_bytes <= MAX_READ_AHEAD_BYTES
-            or self._memory.has_read_ahead_capacity()
+            or self._memory.is_within_read_ahead_limit()
         )
 
     def receive(self) -> int | None:
@@ -100,7 +100,7 @@
             return None
         except OSError:
             return 0
-        if count and not self.is_discarding:
+        if count and not self.is_discarding_input:
             self._parser.feed(self._buffer.view[:count])
             self.has_unparsed_input = True
             self.report_read_ahead()
@@ -125,11 +125,15 @@
 
     def is_command_overdue(self, now: float) -> bool:
         """Whether the client has begun a command, or just connected, and has not completed it in time."""
-        return self._command_deadline is not None and now > self._command_deadline and not self.is_discarding
+        return (
+            self._command_deadline is not None
+            and now > self._command_deadline
+            and not self.is_discarding_input
+        )
 
     def discard_input(self) -> None:
         """Take no further command, and drop what was read ahead."""
-        self.is_discarding = True
+        self.is_discarding_input = True
         self._parser = CommandParser()
 
     def report_read_ahead(self) -> None:
@@ -145,7 +149,7 @@
 
     # ---- the client's disconnect ----
 
-    def was_emptied_within(self, interval_ms: float, now: float) -> bool:
+    def had_read_all_input_within(self, interval_ms: float, now: float) -> bool:
         """Whether all input had been read, and no disconnect seen, less than `interval_ms` before `now`."""
         return now - self._last_empty_read_at < interval_ms
 
--- a/gateway/network/clients/connection.py
+++ b/gateway/network/clients/connection.py
@@ -64,13 +64,13 @@
 class ClientConnection:
     """Takes commands, replies to those of connection set-up and hands requests to the handler."""
 
-    def __init__(self, owner: ConnectionOwner, accepted: socket.socket) -> None:
+    def __init__(self, owner: ConnectionOwner, client_socket: socket.socket) -> None:
         self.owner = owner
-        self.socket = accepted
-        self.fd = accepted.fileno()
+        self.socket = client_socket
+        self.fd = client_socket.fileno()
         self.last_used_at = now_ms()
-        self.reader = CommandReader(accepted, owner.receive_buffer, owner.memory, self.last_used_at)
-        self.replies = ReplyQueue(accepted, owner.memory, self.last_used_at)
+        self.reader = CommandReader(client_socket, owner.receive_buffer, owner.memory, self.last_used_at)
+        self.replies = ReplyQueue(client_socket, owner.memory, self.last_used_at)
         self.is_reading = False
         self.is_writing = False
         self.is_closed = False
@@ -97,7 +97,11 @@
     @property
     def may_read(self) -> bool:
         """Whether the bounds on memory allow to receive more."""
-        return not self.is_closed and self.replies.has_read_capacity() and self.reader.has_capacity()
+        return (
+            not self.is_closed
+            and self.replies.is_within_unsent_limit()
+            and self.reader.is_within_read_ahead_limits()
+        )
 
     def _update_reading(self) -> None:
         may_read = self.may_read
@@ -127,7 +131,7 @@
         The event loop reports sockets and timers in an order of its own: after a stall of this process,
         timers, responses of the counter and replies of backends may all come before the disconnect.
         """
-        if self.reader.was_emptied_within(DISCONNECT_CHECK_INTERVAL_MS, now_ms()):
+        if self.reader.had_read_all_input_within(DISCONNECT_CHECK_INTERVAL_MS, now_ms()):
             return
         has_received = False
         for _ in range(MAX_READS_PER_DISCONNECT_CHECK):
@@ -156,7 +160,7 @@
                 self._process_until_blocked()  # it had come before this connection could be closed
         finally:
             self._is_processing = False
-        if self.reader.is_discarding and self.is_idle:
+        if self.reader.is_discarding_input and self.is_idle:
             self.close()  # the last reply has been sent
         if self.owner.is_draining and self.is_between_commands:
             self.close()
@@ -166,35 +170,35 @@
     def _process_until_blocked(self) -> None:
         self._send_replies()
         while self.reader.has_unparsed_input and not self._is_blocked():
-            self._take_commands()
+            self._process_commands()
             self._send_replies()
 
     def _is_blocked(self) -> bool:
-        return self.reader.is_discarding or self.is_closed or self.replies.is_full()
+        return self.reader.is_discarding_input or self.is_closed or self.replies.is_full()
 
-    def _take_commands(self) -> None:
+    def _process_commands(self) -> None:
         """Take the complete commands among the bytes received so far."""
         try:
             while not self._is_blocked():
                 arguments = self.reader.next_command()
                 if arguments is None:
                     return
-                self._take_command(arguments)
+                self._process_command(arguments)
         except ProtocolError as error:
             self._reject_input(f"malformed command: {error}")
 
-    def _take_command(self, arguments: list[bytes]) -> None:
+    def _process_command(self, arguments: list[bytes]) -> None:
         pending_reply = PendingReply(self, sum(map(len, arguments)))
         self.replies.add(pending_reply)
         command = arguments[0].upper()
         if command in REQUEST_COMMANDS:
-            self._take_request(arguments, pending_reply)
+            self._process_request(arguments, pending_reply)
             return
         pending_reply.complete(reply_to_setup_command(command, arguments))
         if command == QUIT_COMMAND:
             self.reader.discard_input()
 
-    def _take_request(self, arguments: list[bytes], pending_reply: PendingReply) -> None:
+    def _process_request(self, arguments: list[bytes], pending_reply: PendingReply) -> None:
         try:
             request = self.owner.parser.parse(arguments)
         except InvalidRequestError as error:
@@ -203,7 +207,7 @@
             pending_reply.complete(b"-ERR %b\r\n" % reason.encode())
             return
         self.owner.on_request_received(self)
-        pending_reply.open_request(request.id)
+        pending_reply.set_open_request(request.id)
         self.owner.handler.on_request(request, pending_reply)
 
     def _reject_input(self, reason: str) -> None:
--- a/gateway/network/clients/listener.py
+++ b/gateway/network/clients/listener.py
@@ -22,7 +22,7 @@
 LISTEN_BACKLOG = 1024
 """Connections that may wait in the kernel to be accepted; they take no descriptor there."""
 
-ACCEPTS_PER_TURN = 32
+MAX_ACCEPTS_PER_ITERATION = 32
 """Connections accepted in one turn of the event loop; those accepted are read between two turns."""
 
 ACCEPT_RETRY_MS = 20.0
@@ -123,8 +123,8 @@
             self._accept_timer = self.timers.call_at(now_ms() + ACCEPT_RETRY_MS, self._resume_accepting)
 
     def _on_connections_waiting(self) -> None:
-        for turn in range(ACCEPTS_PER_TURN):
-            if turn and len(self.connections) >= self.max_connections:
+        for accepted_count in range(MAX_ACCEPTS_PER_ITERATION):
+            if accepted_count and len(self.connections) >= self.max_connections:
                 return  # none is evicted without need: only the first turn knows that a connection waits
             if not self._accept_one():
                 return
@@ -137,16 +137,16 @@
             self._pause_accepting()
             return False
         try:
-            accepted, _address = self.listening_socket.accept()
+            client_socket, _address = self.listening_socket.accept()
         except (BlockingIOError, InterruptedError, ConnectionAbortedError):
             return False
         except OSError as error:
             self.count_rejection(f"not accepted: {error.strerror}")
             self._pause_accepting()
             return False
-        accepted.setblocking(False)
-        accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        connection = ClientConnection(self, accepted)
+        client_socket.setblocking(False)
+        client_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        connection = ClientConnection(self, client_socket)
         self.connections[connection] = None
         self.connections_without_request[connection] = None
         self.all_closed.clear()
@@ -243,14 +243,14 @@
             self._pause_accepting()
             self.listening_socket.close()
             self.listening_socket = None
-            self._close_unused_soon()
+            self._enforce_timeouts_until_closed()
 
-    def _close_unused_soon(self) -> None:
+    def _enforce_timeouts_until_closed(self) -> None:
         """Enforce the time-outs more often than the sweep does, until all connections are closed."""
         for connection in list(self.connections):
             connection.enforce_timeouts(now_ms())
         if self.connections:
-            self.timers.call_at(now_ms() + SHUTDOWN_CHECK_INTERVAL_MS, self._close_unused_soon)
+            self.timers.call_at(now_ms() + SHUTDOWN_CHECK_INTERVAL_MS, self._enforce_timeouts_until_closed)
 
     def close(self) -> None:
         """Close all connections at the end of the process; what has come until now still gets a reply."""
--- a/gateway/network/clients/memory.py
+++ b/gateway/network/clients/memory.py
@@ -28,7 +28,7 @@
         """Count what one connection has read ahead more, or less, than it last reported."""
         self.read_ahead_bytes += change
 
-    def has_read_ahead_capacity(self) -> bool:
+    def is_within_read_ahead_limit(self) -> bool:
         """Whether connections may read further ahead than the part that each of them has for itself."""
         return self.read_ahead_bytes <= self.max_read_ahead_bytes
 
--- a/gateway/network/clients/pending_reply.py
+++ b/gateway/network/clients/pending_reply.py
@@ -38,7 +38,7 @@
         pending_reply.reply = reply
         return pending_reply
 
-    def open_request(self, request_id: str) -> None:
+    def set_open_request(self, request_id: str) -> None:
         """Make this the reply of a request that is about to be handed to the handler."""
         self.open_request_id = request_id
 
--- a/gateway/network/clients/reply_queue.py
+++ b/gateway/network/clients/reply_queue.py
@@ -28,8 +28,8 @@
 
     __slots__ = ("_memory", "_pending_command_bytes", "_socket", "last_progress_at", "pending", "unsent")
 
-    def __init__(self, accepted: socket.socket, memory: ClientMemory, connected_at: float) -> None:
-        self._socket = accepted
+    def __init__(self, client_socket: socket.socket, memory: ClientMemory, connected_at: float) -> None:
+        self._socket = client_socket
         self._memory = memory
         self.pending: deque[PendingReply] = deque()
         self._pending_command_bytes = 0  # of the commands in `pending`
@@ -41,7 +41,7 @@
         """Whether no reply is pending or unsent."""
         return not self.pending and not self.unsent
 
-    def has_read_capacity(self) -> bool:
+    def is_within_unsent_limit(self) -> bool:
         """Whether the client takes its replies fast enough to be read further."""
         return len(self.unsent) <= MAX_UNSENT_BYTES
 
--- a/gateway/network/clients/request_parser.py
+++ b/gateway/network/clients/request_parser.py
@@ -44,10 +44,10 @@
 """Number of possible customers; a customer is its number in 16 hexadecimal digits, counted from 0."""
 
 # Strict forms: `float` and `int` also accept nan, 1_0, +1 and spaces.
-DECIMAL_FORM = re.compile(rb"\d{1,12}(?:\.\d{1,12})?")
-INTEGER_FORM = re.compile(rb"\d{1,6}")
-CUSTOMER_FORM = re.compile(rb"[0-9a-fA-F]{16}")
-IDENTIFIER_FORM = re.compile(rb"[!-~]{1,64}")
+DECIMAL_PATTERN = re.compile(rb"\d{1,12}(?:\.\d{1,12})?")
+INTEGER_PATTERN = re.compile(rb"\d{1,6}")
+CUSTOMER_PATTERN = re.compile(rb"[0-9a-fA-F]{16}")
+IDENTIFIER_PATTERN = re.compile(rb"[!-~]{1,64}")
 
 REMAINING_MS_AT_START = REMAINING_MS + ASSIGNMENT
 REMAINING_MS_AFTER_ANOTHER = SEPARATOR + REMAINING_MS + ASSIGNMENT
@@ -195,7 +195,7 @@
 
 
 def _parse_customer(text: bytes) -> int:
-    if not CUSTOMER_FORM.fullmatch(text):
+    if not CUSTOMER_PATTERN.fullmatch(text):
         raise InvalidRequestError("malformed customer")
     number = int(text, 16)
     if number >= CUSTOMER_COUNT:
@@ -204,22 +204,22 @@
 
 
 def _check_identifiers(request_id: bytes, attributes: dict[bytes, bytes], rules: _ClassRules) -> None:
-    if not IDENTIFIER_FORM.fullmatch(request_id):
+    if not IDENTIFIER_PATTERN.fullmatch(request_id):
         raise InvalidRequestError("malformed id")
-    if rules.needs_key and not IDENTIFIER_FORM.fullmatch(attributes.get(IDEMPOTENCY_KEY, b"")):
+    if rules.needs_key and not IDENTIFIER_PATTERN.fullmatch(attributes.get(IDEMPOTENCY_KEY, b"")):
         raise InvalidRequestError("key missing")
 
 
 def _parse_decimal(attributes: dict[bytes, bytes], name: bytes) -> float:
     text = attributes.get(name, b"")
-    if not DECIMAL_FORM.fullmatch(text):
+    if not DECIMAL_PATTERN.fullmatch(text):
         raise InvalidRequestError(f"{name.decode()} is no number")
     return float(text)
 
 
 def _parse_integer(attributes: dict[bytes, bytes], name: bytes) -> int:
     text = attributes.get(name, b"")
-    if not INTEGER_FORM.fullmatch(text):
+    if not INTEGER_PATTERN.fullmatch(text):
         raise InvalidRequestError(f"{name.decode()} is no number")
     return int(text)
 
--- a/gateway/network/codecs/json_stream.py
+++ b/gateway/network/codecs/json_stream.py
@@ -14,7 +14,7 @@
 
 from gateway.errors import GatewayError
 
-MAX_OBJECT_SIZE = 64 * 1024 * 1024
+MAX_OBJECT_BYTES = 64 * 1024 * 1024
 """Longest object, in bytes."""
 
 MAX_OBJECT_LINES = 1_000_000
@@ -34,7 +34,7 @@
 class JsonObjectReader:
     """Cuts a stream into the texts of its objects; blank lines between them are skipped."""
 
-    __slots__ = ("_line_pieces", "_lines", "_object_prefix", "_open_braces", "_size")
+    __slots__ = ("_line_pieces", "_lines", "_object_prefix", "_open_braces", "_size_bytes")
 
     def __init__(self, object_prefix: bytes) -> None:
         """`object_prefix` begins each object on a line of its own, and no other line."""
@@ -42,7 +42,7 @@
         self._lines: list[bytes] = []  # of the object that is incomplete
         self._line_pieces: list[bytes] = []  # of the line that is incomplete
         self._open_braces = 0  # of the object
-        self._size = 0  # bytes of the object
+        self._size_bytes = 0  # bytes of the object
 
     def feed(self, data: bytes) -> list[bytes]:
         """Return the texts of the objects that `data` completes.
@@ -55,12 +55,12 @@
                 complete.append(text)
             if piece:
                 self._line_pieces.append(piece)
-                self._size += len(piece)
+                self._size_bytes += len(piece)
                 self._open_braces += piece.count(b"{") - piece.count(b"}")
-        if self._size > MAX_OBJECT_SIZE or len(self._lines) > MAX_OBJECT_LINES:
+        if self._size_bytes > MAX_OBJECT_BYTES or len(self._lines) > MAX_OBJECT_LINES:
             raise JsonStreamError(
-                f"expected a JSON object of at most {MAX_OBJECT_SIZE} bytes and {MAX_OBJECT_LINES} lines, "
-                f"got {self._size} bytes and {len(self._lines)} lines without its end"
+                f"expected a JSON object of at most {MAX_OBJECT_BYTES} bytes and {MAX_OBJECT_LINES} lines, "
+                f"got {self._size_bytes} bytes and {len(self._lines)} lines without its end"
             )
         return complete
 
@@ -89,7 +89,7 @@
         text = b"\n".join(self._lines)
         self._lines = []
         self._open_braces = 0
-        self._size = 0
+        self._size_bytes = 0
         return text
 
 
@@ -111,7 +111,7 @@
                 position = yield from _iterate_items(text, position + 1, batch_size)
             else:
                 fields[name], position = _parse_value(text, position)
-            position = _next_item(text, position, "}")
+            position = _find_next_item(text, position, "}")
     except JsonStreamError:
         raise
     except IndexError as error:
@@ -133,7 +133,7 @@
         if len(items) == batch_size:
             yield items
             items = []
-        position = _next_item(text, position, "]")
+        position = _find_next_item(text, position, "]")
     if items:
         yield items
     return position + 1
@@ -153,7 +153,7 @@
     return _skip_whitespace(text, position + 1)
 
 
-def _next_item(text: str, position: int, closing: str) -> int:
+def _find_next_item(text: str, position: int, closing: str) -> int:
     """Return where the next item begins, or the position of the closing bracket if there is none."""
     position = _skip_whitespace(text, position)
     if text[position] == closing:
--- a/gateway/network/codecs/resp_commands.py
+++ b/gateway/network/codecs/resp_commands.py
@@ -83,9 +83,9 @@
         """
         buffer = self._buffer
         while True:
-            if not self._arguments_left and not self._begin_command():
+            if not self._arguments_left and not self._parse_command_header():
                 return None
-            if self._argument_length < 0 and not self._begin_argument():
+            if self._argument_length < 0 and not self._parse_argument_header():
                 return None
             end = self._position + self._argument_length
             if len(buffer) < end + 2:
@@ -99,7 +99,7 @@
             if not self._arguments_left:
                 return self._finish_command()
 
-    def _begin_command(self) -> bool:
+    def _parse_command_header(self) -> bool:
         """Parse the header of a command; whether it is complete."""
         header = ARRAY_HEADER.match(self._buffer, self._position)
         if header is None:
@@ -112,7 +112,7 @@
         self._arguments_left = count
         return True
 
-    def _begin_argument(self) -> bool:
+    def _parse_argument_header(self) -> bool:
         """Parse the header of an argument; whether it is complete."""
         header = BULK_STRING_HEADER.match(self._buffer, self._position)
         if header is None:
--- a/gateway/network/codecs/resp_replies.py
+++ b/gateway/network/codecs/resp_replies.py
@@ -20,7 +20,7 @@
 MAX_METADATA_BYTES = 4 * 1024
 """Longest usage figures or load report, in bytes on the wire."""
 
-METADATA_FIELDS = 2
+METADATA_FIELD_COUNT = 2
 """Number of fields after the value: usage figures and load report."""
 
 MAX_HEADER_BYTES = 20
@@ -86,7 +86,7 @@
         found = bytes(data[end : end + 2])
         raise ProtocolError(f"expected a line end after a value of {length} bytes, got {found!r}")
     position = end + 2
-    for _ in range(METADATA_FIELDS):
+    for _ in range(METADATA_FIELD_COUNT):
         field_end = _find_field_end(data, position)
         if field_end is None and len(data) - end <= MAX_METADATA_BYTES:
             return None
--- a/tests/network/clients/test_client_connection.py
+++ b/tests/network/clients/test_client_connection.py
@@ -98,7 +98,7 @@
 
         peer.writer.write(encode_command(*request_command(b"early")) + b"?what\r\n" + b"x" * 10_000_000)
         await wait_until(lambda: backend.received)
-        assert connection.reader.is_discarding
+        assert connection.reader.is_discarding_input
         await peer.writer.drain()  # all is read, as a disconnect could only be seen behind it
 
         assert connection.reader.buffered_bytes <= command_reader.RECEIVE_BUFFER_BYTES
--- a/tests/network/clients/test_client_endings.py
+++ b/tests/network/clients/test_client_endings.py
@@ -20,15 +20,15 @@
 from tests.support.resp_peer import LOCAL, encode_command
 
 
-@pytest.mark.parametrize("behind", [b"", b"?what\r\n", encode_command(b"QUIT")])
+@pytest.mark.parametrize("trailing_input", [b"", b"?what\r\n", encode_command(b"QUIT")])
 @runs_in_loop
-async def test_disconnect_behind_pipelined_requests_is_detected(behind: bytes) -> None:
+async def test_disconnect_behind_pipelined_requests_is_detected(trailing_input: bytes) -> None:
     """It comes behind more requests than may be pending, or behind what made the connection stop reading."""
     async with running_listener() as (listener, handler, port):
         peer = await connect(port)
-        request_count = MAX_PENDING_REPLIES * (1 if behind else 3)
+        request_count = MAX_PENDING_REPLIES * (1 if trailing_input else 3)
         ids = [b"%04d" % number for number in range(request_count)]
-        peer.writer.write(pipelined_requests(ids) + behind)
+        peer.writer.write(pipelined_requests(ids) + trailing_input)
         await wait_until(lambda: len(handler.pending) == MAX_PENDING_REPLIES)
 
         peer.close()
@@ -150,8 +150,8 @@
 @runs_in_loop
 async def test_read_ahead_of_all_connections_is_bounded() -> None:
     """Each may read its own part ahead; one that has more reads on once others have released memory."""
-    own_limit = MAX_READ_AHEAD_BYTES
-    async with running_listener(memory_bytes=8 * own_limit) as (listener, _handler, port):
+    limit_per_connection = MAX_READ_AHEAD_BYTES
+    async with running_listener(memory_bytes=8 * limit_per_connection) as (listener, _handler, port):
         memory = listener.memory
         requests = pipelined_requests(b"%05d" % number for number in range(10_000))
         first = await connect(port)
@@ -161,16 +161,23 @@
         await wait_until(lambda: listener.connections and not next(iter(listener.connections)).is_reading)
         second.writer.write(requests)
         await wait_until(lambda: len(listener.connections) == 2)
-        one, other = listener.connections
-        await wait_until(lambda: not one.is_reading and not other.is_reading)
+        first_connection, second_connection = listener.connections
+        await wait_until(lambda: not first_connection.is_reading and not second_connection.is_reading)
 
-        assert one.reader.buffered_bytes + other.reader.buffered_bytes == memory.read_ahead_bytes
+        assert (
+            first_connection.reader.buffered_bytes + second_connection.reader.buffered_bytes
+            == memory.read_ahead_bytes
+        )
         assert memory.read_ahead_bytes > memory.max_read_ahead_bytes
-        assert memory.read_ahead_bytes <= memory.max_read_ahead_bytes + own_limit + 65536
-        assert own_limit < other.reader.buffered_bytes <= own_limit + RECEIVE_BUFFER_BYTES
-        one.close()
-        await wait_until(lambda: other.reader.buffered_bytes > memory.max_read_ahead_bytes)
-        other.close()
+        assert memory.read_ahead_bytes <= memory.max_read_ahead_bytes + limit_per_connection + 65536
+        assert (
+            limit_per_connection
+            < second_connection.reader.buffered_bytes
+            <= limit_per_connection + RECEIVE_BUFFER_BYTES
+        )
+        first_connection.close()
+        await wait_until(lambda: second_connection.reader.buffered_bytes > memory.max_read_ahead_bytes)
+        second_connection.close()
         assert memory.read_ahead_bytes == 0
 
 
--- a/tests/network/clients/test_request_parser.py
+++ b/tests/network/clients/test_request_parser.py
@@ -38,7 +38,7 @@
 """An attribute, invalid ones in its place, and the reason with which they are rejected."""
 
 
-def with_attribute(valid: bytes, invalid: bytes, command: bytes = b"API.READ") -> tuple[bytes, ...]:
+def replace_attribute(valid: bytes, invalid: bytes, command: bytes = b"API.READ") -> tuple[bytes, ...]:
     """Return a request that is valid except for one replaced attribute."""
     assert valid in ATTRIBUTES
     return command, CUSTOMER, b"b", ATTRIBUTES.replace(valid, invalid)
@@ -57,11 +57,11 @@
     ((b"API.READ", CUSTOMER, b"a b", ATTRIBUTES), "malformed id"),
     ((b"API.READ", CUSTOMER, b"x" * 65, ATTRIBUTES), "malformed id"),
     ((b"API.WRITE", CUSTOMER, b"b", ATTRIBUTES), "class of another command"),
-    (with_attribute(b"c=view", b"c=keyed", b"API.WRITE"), "key missing"),
+    (replace_attribute(b"c=view", b"c=keyed", b"API.WRITE"), "key missing"),
     ((b"HELLO", b"3"), "unknown command"),
     ((b"",), "unknown command"),
     *(
-        (with_attribute(valid, invalid), reason)
+        (replace_attribute(valid, invalid), reason)
         for valid, replacements, reason in INVALID_ATTRIBUTES
         for invalid in replacements
     ),
--- a/tests/network/codecs/test_json_stream.py
+++ b/tests/network/codecs/test_json_stream.py
@@ -38,11 +38,11 @@
 
 @given(HOSTS, st.booleans(), st.sampled_from([None, 1, 4]), st.sampled_from([0, 1, 2]))
 def test_batches_hold_the_array_at_any_position(
-    hosts: Any, is_snapshot: bool, indent: int | None, place: int
+    hosts: Any, is_snapshot: bool, indent: int | None, array_index: int
 ) -> None:
     """The array may stand before, between or after the other members."""
     members: list[tuple[str, Any]] = [("seq", 41), ("whole", is_snapshot)]
-    members.insert(place, ("hosts", hosts))
+    members.insert(array_index, ("hosts", hosts))
 
     batches, fields = read_batches(json.dumps(dict(members), indent=indent))
 
@@ -87,7 +87,7 @@
 
 @given(st.lists(st.integers(1, 40), min_size=1, max_size=30), st.sampled_from([None, 1]))
 def test_objects_are_returned_for_pieces_of_any_size(sizes: list[int], indent: int | None) -> None:
-    stream = b"\n\n".join(json.dumps(each, indent=indent).encode() for each in OBJECTS) + b"\n\n"
+    stream = b"\n\n".join(json.dumps(members, indent=indent).encode() for members in OBJECTS) + b"\n\n"
     reader = JsonObjectReader(OBJECT_PREFIX)
 
     texts: list[bytes] = []
@@ -134,7 +134,7 @@
 
 
 def test_size_of_an_object_is_limited(reader: JsonObjectReader, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(json_stream, "MAX_OBJECT_SIZE", 1_000)
+    monkeypatch.setattr(json_stream, "MAX_OBJECT_BYTES", 1_000)
     for _ in range(10):
         reader.feed(b"{" + b" " * 99)
 
--- a/tests/network/process/test_process_endings.py
+++ b/tests/network/process/test_process_endings.py
@@ -19,7 +19,7 @@
 
     async def scenario() -> None:
         async with running_listener() as (listener, handler, port):
-            ids = [b"%03d" % number for number in range(2 * client_listener.ACCEPTS_PER_TURN)]
+            ids = [b"%03d" % number for number in range(2 * client_listener.MAX_ACCEPTS_PER_ITERATION)]
             clients = [connect_at_once(port, encode_command(*request_command(id))) for id in ids]
             assert not listener.connections
 
--- a/tests/network/test_dispatcher.py
+++ b/tests/network/test_dispatcher.py
@@ -63,7 +63,7 @@
     def request(self, request_id: str = "r1", remaining_ms: int = 3000) -> PendingReply:
         """Hand a request of the client to the dispatcher."""
         pending_reply = PendingReply(self.connection)
-        pending_reply.open_request(request_id)
+        pending_reply.set_open_request(request_id)
         self.connection.replies.add(pending_reply)
         command = request_command(request_id.encode(), plan=BONUS.name.encode(), remaining_ms=remaining_ms)
         self.dispatcher.on_request(self.parser.parse(list(command)), pending_reply)
