--- a/gateway/network/clients/command_reader.py
+++ b/gateway/network/clients/command_reader.py
@@ -1,4 +1,4 @@
-"""Input of one client: receives bytes, cuts them into commands and bounds what is read ahead of them."""
+"""Input of one client: receives bytes, splits them into commands and bounds the input read ahead."""
 
 from __future__ import annotations
 
@@ -13,22 +13,23 @@
 from .memory import ClientMemory
 
 RECEIVE_BUFFER_BYTES = 32 * 1024
-"""Most bytes that are received from a connection at once."""
+"""Maximum number of bytes received from a connection in one read."""
 
 MAX_READ_AHEAD_BYTES = 128 * 1024
-"""Bytes that every connection may read beyond the commands taken, whatever all of them have read ahead.
+"""Bytes that each connection may always read beyond the commands it has processed, even if the limit on the
+input read ahead by all connections together is reached.
 
-A client's disconnect can be seen only behind all that it has sent before."""
+A client's disconnect can be detected only after reading all the input before it."""
 
 COMMAND_TIMEOUT_MS = 2_000.0
-"""Milliseconds from connecting, or from the first byte of a command, until the command has to be complete."""
+"""Milliseconds from connecting, or from the first byte of a command, until the command must be complete."""
 
 DISCONNECT_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
-"""Events of `poll` that show that the client has closed, ended its sending or reset the connection."""
+"""Events of `poll` that mean that the client has closed or reset the connection, or ended its sending."""
 
 
 class ReceiveBuffer:
-    """One buffer that all connections receive into; each copies out at once what it has received."""
+    """A buffer that all connections share; each copies its input out of it immediately after a read."""
 
     __slots__ = ("data", "view")
 
@@ -38,9 +39,9 @@
 
 
 class CommandReader:
-    """Receives the bytes of one client and cuts them into commands.
+    """Receives the bytes of one client and splits them into commands.
 
-    Times are milliseconds of `now_ms`.
+    Times are in milliseconds of `now_ms`.
     """
 
     __slots__ = (
@@ -64,21 +65,21 @@
         self._parser = CommandParser()
         self.has_unparsed_input = False
         self.is_discarding_input = False
-        """Whether no further command is taken, and input is read only to detect the client's disconnect."""
-        self._command_deadline: float | None = connected_at + COMMAND_TIMEOUT_MS  # None: between commands
-        self._last_empty_read_at = -math.inf  # when all input had been read
-        self._reported_read_ahead_bytes = 0  # the part of `ClientMemory.read_ahead_bytes` that is held here
+        """Whether no further command is processed, and input is read only to detect a disconnect."""
+        self._command_deadline: float | None = connected_at + COMMAND_TIMEOUT_MS  # None between commands
+        self._last_empty_read_at = -math.inf  # when a read last found no input
+        self._reported_read_ahead_bytes = 0  # this connection's part of `ClientMemory.read_ahead_bytes`
 
     @property
     def buffered_bytes(self) -> int:
-        """Bytes buffered of commands that are not taken yet; 0 only between commands."""
+        """Bytes of commands that are buffered and not processed yet; 0 only between commands."""
         return self._parser.buffered_bytes
 
     def is_within_read_ahead_limits(self) -> bool:
-        """Whether more may be received without exceeding the bounds on what is read ahead.
+        """Return whether more input may be received without exceeding the limits on the input read ahead.
 
-        The disconnect of a client that pipelines many requests must be seen behind them: they would otherwise
-        be forwarded one after another although no client waits for their replies.
+        A client may disconnect after pipelining many requests. The gateway must read ahead to detect this:
+        it would otherwise forward the requests one after another although no client waits for their replies.
         """
         return (
             self.is_discarding_input
@@ -90,8 +91,8 @@
         """Read once from the socket.
 
         Returns:
-            As `io.RawIOBase.readinto`: the number of bytes; 0 if the client has closed or reset the
-            connection or has ended its sending; None if nothing has come.
+            The number of bytes received; 0 if the client has closed or reset the connection or has ended its
+            sending; None if no input is available. `io.RawIOBase.readinto` returns the same.
         """
         try:
             count = self._socket.recv_into(self._buffer.data)
@@ -107,10 +108,10 @@
         return count
 
     def next_command(self) -> list[bytes] | None:
-        """Take the arguments of the next complete command; None if there is none yet.
+        """Return the arguments of the next complete command, or None if there is none yet.
 
         Raises:
-            ProtocolError: the input is not a command; nothing after it can be understood either.
+            ProtocolError: the input is not a command; nothing after it can be parsed either.
         """
         arguments = self._parser.next_command()
         if arguments is not None:
@@ -124,7 +125,7 @@
         return None
 
     def is_command_overdue(self, now: float) -> bool:
-        """Whether the client has begun a command, or just connected, and has not completed it in time."""
+        """Return whether the client has missed the deadline for completing its first or current command."""
         return (
             self._command_deadline is not None
             and now > self._command_deadline
@@ -132,30 +133,30 @@
         )
 
     def discard_input(self) -> None:
-        """Take no further command, and drop what was read ahead."""
+        """Stop processing commands, and drop the input read ahead."""
         self.is_discarding_input = True
         self._parser = CommandParser()
 
     def report_read_ahead(self) -> None:
-        """Bring the total over all connections up to date with what is buffered here."""
+        """Update the total over all connections by the change of the input buffered for this one."""
         read_ahead_bytes = self._parser.buffered_bytes
         self._memory.change_read_ahead(read_ahead_bytes - self._reported_read_ahead_bytes)
         self._reported_read_ahead_bytes = read_ahead_bytes
 
     def close(self) -> None:
-        """Drop all input, as the connection is closed."""
+        """Drop all input when the connection is closed."""
         self.discard_input()
         self.report_read_ahead()
 
     # ---- the client's disconnect ----
 
     def had_read_all_input_within(self, interval_ms: float, now: float) -> bool:
-        """Whether all input had been read, and no disconnect seen, less than `interval_ms` before `now`."""
+        """Return whether a read found no input and no disconnect less than `interval_ms` before `now`."""
         return now - self._last_empty_read_at < interval_ms
 
     def is_disconnect_pending(self) -> bool:
-        """Whether the system knows of a disconnect behind input that may not be read yet."""
-        with contextlib.suppress(OSError):  # unknown to the system; the next send to the client fails
+        """Return whether the operating system reports a disconnect, even one behind unread input."""
+        with contextlib.suppress(OSError):  # the system does not know the socket; the next send fails
             poll = select.poll()
             poll.register(self._socket, select.POLLRDHUP)
             return any(event & DISCONNECT_EVENTS for _, event in poll.poll(0))
--- a/gateway/network/clients/connection.py
+++ b/gateway/network/clients/connection.py
@@ -1,7 +1,7 @@
-"""One connection of a client: takes commands and sends their replies in the same order.
+"""One connection of a client: processes commands and sends their replies in the same order.
 
-The socket is driven directly, so that what a client may make the process hold is bounded, and so that its
-disconnect can be detected at the moment an attempt is about to begin.
+The connection uses its socket directly, so that the memory that a client can make the process use is bounded,
+and so that the client's disconnect can be detected just before an attempt begins.
 """
 
 from __future__ import annotations
@@ -21,48 +21,49 @@
 from .setup_commands import QUIT_COMMAND, reply_to_setup_command
 
 IDLE_TIMEOUT_MS = 30_000.0
-"""Milliseconds after which an unused connection is closed."""
+"""Milliseconds without use after which a connection is closed."""
 
 FIRST_REQUEST_GRACE_MS = 100.0
-"""Milliseconds that a new connection has to send something, even if others wait to be accepted."""
+"""Milliseconds that a new connection has for its first request, even if others wait to be accepted."""
 
 DISCONNECT_CHECK_INTERVAL_MS = 20.0
-"""Milliseconds for which a client that was found connected is not checked again."""
+"""Milliseconds for which a client that was found to be connected is not checked for a disconnect again."""
 
 MAX_READS_PER_DISCONNECT_CHECK = 64
-"""Reads of one check, so that a client that never stops sending does not delay all others."""
+"""Maximum number of reads in one check for a disconnect, so that a client that never stops sending does not
+delay all others."""
 
 PROTOCOL_ERROR_REPLY = b"-ERR protocol error\r\n"
 
 
 class ConnectionOwner(Protocol):
-    """What connections share, and how they notify the listener that accepted them."""
+    """The state that connections share, and the calls that notify the listener that accepted them."""
 
     loop: asyncio.AbstractEventLoop
     handler: RequestHandler
     parser: RequestParser
     receive_buffer: ReceiveBuffer
     memory: ClientMemory
-    is_draining: bool  # connections close as soon as no reply is pending on them
+    is_draining: bool  # each connection closes as soon as no reply is pending on it
 
     def count_rejection(self, reason: str, /) -> None:
-        """Count a command that was rejected, or a connection that was closed, for the log."""
+        """Count a rejected command or a closed connection under its reason, for the log."""
 
     def on_request_received(self, connection: ClientConnection, /) -> None:
-        """Take note that a connection has sent a valid request."""
+        """Record that a connection has sent a valid request."""
 
     def on_reply_sent(self, connection: ClientConnection, /) -> None:
-        """Take note that a connection has just been used."""
+        """Record that a connection was just used for a reply."""
 
     def on_closed(self, connection: ClientConnection, /) -> None:
-        """Take note that a connection is closed."""
+        """Record that a connection is closed."""
 
     def close_slowest_reader(self) -> None:
-        """Close a client, as the replies that are not sent exceed their bound."""
+        """Close the client that reads its replies most slowly, because unsent replies exceed their limit."""
 
 
 class ClientConnection:
-    """Takes commands, replies to those of connection set-up and hands requests to the handler."""
+    """Processes commands: replies to those of connection set-up and passes requests to the handler."""
 
     def __init__(self, owner: ConnectionOwner, client_socket: socket.socket) -> None:
         self.owner = owner
@@ -88,15 +89,15 @@
         self.process_input()
 
     def _receive(self) -> bool:
-        """Read once from the socket; whether there was any data."""
+        """Read once from the socket, and return whether there was any data."""
         count = self.reader.receive()
         if count == 0:
-            self.close()  # a client that only ends its sending has disconnected, too
+            self.close()  # a client that only ends its sending counts as disconnected, too
         return bool(count)
 
     @property
     def may_read(self) -> bool:
-        """Whether the bounds on memory allow to receive more."""
+        """Whether the limits on memory allow the connection to receive more input."""
         return (
             not self.is_closed
             and self.replies.is_within_unsent_limit()
@@ -126,10 +127,10 @@
     # ---- the client's disconnect ----
 
     def detect_disconnect(self) -> None:
-        """Read all input that has come, and close if the client has disconnected.
+        """Read all input that has arrived, and close the connection if the client has disconnected.
 
-        The event loop reports sockets and timers in an order of its own: after a stall of this process,
-        timers, responses of the counter and replies of backends may all come before the disconnect.
+        The event loop handles sockets and timers in its own order: after the process has stalled, timers,
+        responses of the counter and replies of backends may all be handled before the disconnect.
         """
         if self.reader.had_read_all_input_within(DISCONNECT_CHECK_INTERVAL_MS, now_ms()):
             return
@@ -143,21 +144,24 @@
         self._poll_for_disconnect()
 
     def _poll_for_disconnect(self) -> None:
-        """Close if the client has disconnected behind input that may not be read."""
+        """Close if the client has disconnected behind input that the limits keep from being read."""
         if not self.is_closed and not self.may_read and self.reader.is_disconnect_pending():
             self.close()
 
     # ---- commands ----
 
     def process_input(self) -> None:
-        """Take commands and send replies as far as both go; replies completed together are sent together."""
+        """Process commands and send replies until neither can go on.
+
+        Replies that are completed together are sent together.
+        """
         if self._is_processing or self.is_closed:
             return
         self._is_processing = True
         try:
             self._process_until_blocked()
             if self.owner.is_draining and self.is_between_commands and self._receive():
-                self._process_until_blocked()  # it had come before this connection could be closed
+                self._process_until_blocked()  # the input came before the connection could be closed
         finally:
             self._is_processing = False
         if self.reader.is_discarding_input and self.is_idle:
@@ -177,7 +181,7 @@
         return self.reader.is_discarding_input or self.is_closed or self.replies.is_full()
 
     def _process_commands(self) -> None:
-        """Take the complete commands among the bytes received so far."""
+        """Process the complete commands among the bytes received so far."""
         try:
             while not self._is_blocked():
                 arguments = self.reader.next_command()
@@ -211,9 +215,9 @@
         self.owner.handler.on_request(request, pending_reply)
 
     def _reject_input(self, reason: str) -> None:
-        """End the connection with an error reply behind the replies of the commands before.
+        """End the connection with an error reply after the replies to earlier commands.
 
-        What follows the error cannot be distinguished from the rest of the malformed command.
+        Later input is discarded, as it cannot be distinguished from the rest of the malformed command.
         """
         self.replies.add(PendingReply.completed(self, PROTOCOL_ERROR_REPLY))
         self.reader.discard_input()
@@ -245,16 +249,16 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether no reply is pending or unsent on an open connection."""
+        """Whether the connection is open and has no pending or unsent reply."""
         return self.replies.is_empty() and not self.is_closed
 
     @property
     def is_between_commands(self) -> bool:
-        """Whether it may be closed; the first bytes of a command may become a request."""
+        """Whether the connection is idle and no command has begun on it, which may become a request."""
         return self.is_idle and not self.reader.buffered_bytes
 
     def close_if_unused(self) -> bool:
-        """Close unless a command or reply is open here, input that has come and is not read yet included.
+        """Close unless a command or reply is open, also in input that has arrived and is not read yet.
 
         Returns:
             Whether the connection is closed.
@@ -266,7 +270,7 @@
         return self.is_closed
 
     def enforce_timeouts(self, now: float) -> None:
-        """End what the client has begun and does not continue; `now` is in milliseconds, as of `now_ms`."""
+        """End the connection if the client has exceeded a time-out; `now` is in milliseconds of `now_ms`."""
         idle_timeout_ms = FIRST_REQUEST_GRACE_MS if self.owner.is_draining else IDLE_TIMEOUT_MS
         if self.replies.is_reader_stalled(now):
             self.owner.count_rejection("replies left unread")
@@ -277,16 +281,16 @@
         elif now - self.last_used_at > idle_timeout_ms:
             self.close_if_unused()
         else:
-            self._update_reading()  # others may have released memory
+            self._update_reading()  # other connections may have released memory
             self._poll_for_disconnect()
 
     def close_after_last_read(self) -> None:
-        """Close at the end of the process, after replying to the commands that have come until now."""
+        """Close at the end of the process, after replying to the commands that have arrived."""
         self._on_readable()
         self.close()
 
     def close(self) -> None:
-        """Close at once; the handler is notified of each request that has no reply yet."""
+        """Close immediately, and notify the handler of each request that has no reply yet."""
         if self.is_closed:
             return
         self.is_closed = True
--- a/gateway/network/clients/listener.py
+++ b/gateway/network/clients/listener.py
@@ -1,7 +1,7 @@
 """The RESP server that clients connect to.
 
-Connections that arrive by hundreds are accepted as there is capacity for them. Their number is bounded, and
-so is the memory that all of them hold together.
+Connections that arrive by the hundreds are accepted as capacity becomes available. Their number is bounded,
+and so is the memory that all of them use together.
 """
 
 from __future__ import annotations
@@ -20,38 +20,39 @@
 from .request_parser import RequestParser
 
 LISTEN_BACKLOG = 1024
-"""Connections that may wait in the kernel to be accepted; they take no descriptor there."""
+"""Maximum number of connections that wait in the kernel to be accepted; they use no descriptor there."""
 
 MAX_ACCEPTS_PER_ITERATION = 32
-"""Connections accepted in one turn of the event loop; those accepted are read between two turns."""
+"""Maximum number of connections accepted in one iteration of the event loop; the connections accepted so far
+are read between two iterations."""
 
 ACCEPT_RETRY_MS = 20.0
-"""Milliseconds until accepting is tried again after capacity or descriptors ran out."""
+"""Milliseconds until accepting is retried after capacity or descriptors ran out."""
 
 SHUTDOWN_CHECK_INTERVAL_MS = 20.0
-"""Milliseconds between two checks of the time-outs during a shutdown."""
+"""Milliseconds between two checks of the time-outs of all connections during a shutdown."""
 
 READ_AHEAD_MEMORY_SHARE = 0.25
-"""Input read ahead by all connections together, as a fraction of the memory for clients."""
+"""Limit on the input read ahead by all connections together, as a fraction of the memory for clients."""
 
 SWEEP_INTERVAL_MS = 250.0
 """Milliseconds between two checks of the time-outs of all connections."""
 
 EVICTABLE_AFTER_MS = 2_000.0
-"""Milliseconds after its last use from which a connection may be closed for a new one."""
+"""Milliseconds without use after which a connection may be closed to make room for a new one."""
 
 
 @dataclass(frozen=True, slots=True)
 class ClientLimits:
-    """What all clients together may take."""
+    """Limits on the resources that all clients together may use."""
 
     max_connections: int
     memory_bytes: int
-    """Bound on the replies that are not sent yet; input read ahead may take a fraction of it in addition."""
+    """Limit on the bytes of unsent replies; input read ahead may use a fraction of it in addition."""
 
 
 class ClientListener:
-    """Accepts the connections of clients, and bounds their number and their memory."""
+    """Accepts the connections of clients and limits their number and their memory."""
 
     def __init__(
         self,
@@ -72,14 +73,14 @@
             max_read_ahead_bytes=int(limits.memory_bytes * READ_AHEAD_MEMORY_SHARE),
         )
         self.receive_buffer = ReceiveBuffer()
-        # Both are dictionaries for the order of their keys.
+        # The connections are kept as keys of dictionaries, which preserve their order.
         self.connections: dict[ClientConnection, None] = {}
         """All open connections, the least recently used first."""
         self.connections_without_request: dict[ClientConnection, None] = {}
-        """Those that have not sent a request yet, the oldest first."""
+        """Open connections that have not sent a valid request yet, the oldest first."""
         self.rejections = RejectionLog()
         self.address = "no address"
-        """Where clients connect to, for the log."""
+        """The address that clients connect to, for the log."""
         self.listening_socket: socket.socket | None = None
         self.is_draining = False
         self._is_accepting = False
@@ -88,13 +89,13 @@
         self.all_closed.set()
 
     def listen(self, host: str, port: int) -> int:
-        """Start to accept connections.
+        """Start accepting connections.
 
         Returns:
-            The port, which the system chooses if `port` is 0.
+            The port that clients connect to, which the system chooses if `port` is 0.
 
         Raises:
-            OSError: the system does not allow to listen at this address.
+            OSError: the system does not allow listening at this address.
         """
         self.listening_socket = socket.create_server((host, port), backlog=LISTEN_BACKLOG)
         self.listening_socket.setblocking(False)
@@ -113,9 +114,9 @@
             self.loop.add_reader(self.listening_socket.fileno(), self._on_connections_waiting)
 
     def _pause_accepting(self) -> None:
-        """Leave new connections in the kernel's queue for a while.
+        """Leave new connections in the kernel's queue for `ACCEPT_RETRY_MS`.
 
-        To accept and close them would fail their requests.
+        Accepting and closing the connections would fail their requests.
         """
         if self.listening_socket is not None and self._is_accepting:
             self._is_accepting = False
@@ -125,12 +126,13 @@
     def _on_connections_waiting(self) -> None:
         for accepted_count in range(MAX_ACCEPTS_PER_ITERATION):
             if accepted_count and len(self.connections) >= self.max_connections:
-                return  # none is evicted without need: only the first turn knows that a connection waits
+                # Only the first accept is certain that a connection waits; others might evict one needlessly.
+                return
             if not self._accept_one():
                 return
 
     def _accept_one(self) -> bool:
-        """Accept a connection from the kernel's queue; whether there was one, and capacity for it."""
+        """Accept a connection from the kernel's queue; return whether there was one, and capacity for it."""
         if self.listening_socket is None:
             return False
         if len(self.connections) >= self.max_connections and not self._evict_unused():
@@ -156,7 +158,7 @@
         """Close an unused connection, preferably one that has never sent a request.
 
         Returns:
-            Whether there was one.
+            Whether a connection was closed.
         """
         now = now_ms()
         oldest = next(
@@ -182,28 +184,28 @@
     # ---- events of the connections ----
 
     def count_rejection(self, reason: str) -> None:
-        """Count a command that was rejected, or a connection that was closed, for the log."""
+        """Count a rejected command or a closed connection under its reason, for the log."""
         self.rejections.count(reason)
 
     def on_request_received(self, connection: ClientConnection) -> None:
-        """Count a connection among those that have sent a request."""
+        """Remove a connection from those without a request."""
         self.connections_without_request.pop(connection, None)
 
     def on_reply_sent(self, connection: ClientConnection) -> None:
-        """Count a connection as the most recently used."""
+        """Make a connection the most recently used one."""
         if connection in self.connections:
             del self.connections[connection]
             self.connections[connection] = None
 
     def on_closed(self, connection: ClientConnection) -> None:
-        """Forget a connection."""
+        """Remove a closed connection from all records."""
         self.connections.pop(connection, None)
         self.connections_without_request.pop(connection, None)
         if not self.connections:
             self.all_closed.set()
 
     def close_slowest_reader(self) -> None:
-        """Close the client that has taken no reply for the longest time."""
+        """Close the client that has read nothing of its unsent replies for the longest time."""
         slowest = min(
             (connection for connection in self.connections if connection.replies.unsent),
             key=lambda connection: connection.replies.last_progress_at,
@@ -214,7 +216,7 @@
             slowest.close()
 
     def sweep(self) -> None:
-        """Enforce the time-outs of all connections, now and at intervals from now on."""
+        """Enforce the time-outs of all connections and log rejections, now and every `SWEEP_INTERVAL_MS`."""
         now = now_ms()
         self._enforce_timeouts(now)
         self.rejections.write_if_due(self.address, now)
@@ -227,11 +229,11 @@
     # ---- shutdown ----
 
     def begin_shutdown(self) -> None:
-        """Accept nothing more, and close each connection as soon as it has its replies.
+        """Stop accepting connections, and close each connection as soon as its replies are sent.
 
         Connections in the kernel's queue are accepted first: their clients may have sent a request already,
-        and closing the listening socket would reset them. They have `FIRST_REQUEST_GRACE_MS` to send what is
-        on its way.
+        and closing the listening socket would reset the connections. These then stay open for at least
+        `FIRST_REQUEST_GRACE_MS`, so that requests in transit can arrive.
         """
         self.is_draining = True
         for connection in list(self.connections):
@@ -246,13 +248,13 @@
             self._enforce_timeouts_until_closed()
 
     def _enforce_timeouts_until_closed(self) -> None:
-        """Enforce the time-outs more often than the sweep does, until all connections are closed."""
+        """Enforce the time-outs more often than `sweep` does, until all connections are closed."""
         for connection in list(self.connections):
             connection.enforce_timeouts(now_ms())
         if self.connections:
             self.timers.call_at(now_ms() + SHUTDOWN_CHECK_INTERVAL_MS, self._enforce_timeouts_until_closed)
 
     def close(self) -> None:
-        """Close all connections at the end of the process; what has come until now still gets a reply."""
+        """Close all connections at the end of the process, after replying to commands that have arrived."""
         for connection in list(self.connections):
             connection.close_after_last_read()
--- a/gateway/network/clients/memory.py
+++ b/gateway/network/clients/memory.py
@@ -1,10 +1,10 @@
-"""Memory that all client connections of a gateway hold together, and the bounds on it."""
+"""Memory that all client connections of a gateway use together, and the limits on it."""
 
 from __future__ import annotations
 
 
 class ClientMemory:
-    """Bytes held for clients over all connections: replies not sent yet, and input read ahead."""
+    """Counts the bytes buffered for all client connections: replies not sent yet, and input read ahead."""
 
     __slots__ = ("max_read_ahead_bytes", "max_unsent_bytes", "read_ahead_bytes", "unsent_bytes")
 
@@ -12,26 +12,26 @@
         self.max_unsent_bytes = max_unsent_bytes
         self.max_read_ahead_bytes = max_read_ahead_bytes
         self.unsent_bytes = 0
-        """Bytes of replies that clients have not taken yet."""
+        """Bytes of replies that are not sent yet."""
         self.read_ahead_bytes = 0
-        """Bytes received that are not part of a command taken for execution yet."""
+        """Bytes received that do not belong to a processed command yet."""
 
     def add_unsent(self, count: int) -> None:
-        """Count bytes of replies that are to be sent."""
+        """Add `count` bytes of replies that are to be sent."""
         self.unsent_bytes += count
 
     def release_unsent(self, count: int) -> None:
-        """Take off bytes that were counted by `add_unsent`, as they were sent or their client has gone."""
+        """Subtract `count` bytes of replies that were sent, or dropped because their connection is closed."""
         self.unsent_bytes -= count
 
     def change_read_ahead(self, change: int) -> None:
-        """Count what one connection has read ahead more, or less, than it last reported."""
+        """Add the change in the bytes that one connection has read ahead since its last report."""
         self.read_ahead_bytes += change
 
     def is_within_read_ahead_limit(self) -> bool:
-        """Whether connections may read further ahead than the part that each of them has for itself."""
+        """Return whether connections may read ahead more than the bytes that each of them always may."""
         return self.read_ahead_bytes <= self.max_read_ahead_bytes
 
     def is_unsent_limit_exceeded(self) -> bool:
-        """Whether a client has to be closed for the replies that are not read."""
+        """Return whether a client must be closed because clients leave too many bytes of replies unread."""
         return self.unsent_bytes > self.max_unsent_bytes
--- a/gateway/network/clients/rejection_log.py
+++ b/gateway/network/clients/rejection_log.py
@@ -1,4 +1,4 @@
-"""Log of rejected commands and clients: counted by reason, one line at intervals."""
+"""Log of rejected commands and clients, which are counted by reason and logged in one line at intervals."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 log = logging.getLogger(__name__)
 
 REJECTION_LOG_INTERVAL_MS = 1_000.0
-"""Least milliseconds between two log lines, so that a flood of clients does not become a flood of lines."""
+"""Minimum milliseconds between two log lines, so that a flood of clients does not cause a flood of lines."""
 
 
 class RejectionLog:
-    """Counts what clients were rejected for since the last log line."""
+    """Counts rejected commands and closed connections by reason, and logs the counts."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
-        """By reason, since the last log line."""
+        """Number of rejections by reason, since the last log line."""
         self._logged_at = 0.0  # in milliseconds of `now_ms`
 
     def count(self, reason: str) -> None:
-        """Count a command that was rejected or a connection that was closed."""
+        """Count a rejected command or a closed connection under its reason."""
         self.counts[reason] += 1
 
     def write_if_due(self, listen_address: str, now: float) -> None:
-        """Log what was counted, unless the last line is too recent; `now` is in milliseconds of `now_ms`."""
+        """Log the counts, unless the last log line is too recent; `now` is in milliseconds of `now_ms`."""
         if not self.counts or now - self._logged_at < REJECTION_LOG_INTERVAL_MS:
             return
         log.warning(
--- a/gateway/network/clients/reply_queue.py
+++ b/gateway/network/clients/reply_queue.py
@@ -11,16 +11,16 @@
 from .pending_reply import PendingReply
 
 MAX_PENDING_REPLIES = 32
-"""Commands of one connection that may wait for their replies before no further one is taken."""
+"""Number of commands waiting for their replies at which a connection processes no further command."""
 
 MAX_PENDING_COMMAND_BYTES = 128 * 1024
-"""Bytes of the commands that wait for their replies before no further one is taken."""
+"""Bytes of commands waiting for their replies above which a connection processes no further command."""
 
 MAX_UNSENT_BYTES = 128 * 1024
-"""Bytes of replies that a client may leave unread before no more is read from it."""
+"""Bytes of unsent replies above which a connection reads no input and processes no command."""
 
 SLOW_READER_TIMEOUT_MS = 5_000.0
-"""Milliseconds that a client may leave replies unread without taking any byte of them."""
+"""Milliseconds after which a client that reads no byte of its unsent replies is closed."""
 
 
 class ReplyQueue:
@@ -32,21 +32,21 @@
         self._socket = client_socket
         self._memory = memory
         self.pending: deque[PendingReply] = deque()
-        self._pending_command_bytes = 0  # of the commands in `pending`
+        self._pending_command_bytes = 0  # sum over the commands in `pending`
         self.unsent = bytearray()
         self.last_progress_at = connected_at
-        """When the client last took some of its replies, in milliseconds of `now_ms`."""
+        """When the client last read some of its replies or had none to read, in milliseconds of `now_ms`."""
 
     def is_empty(self) -> bool:
-        """Whether no reply is pending or unsent."""
+        """Return whether no reply is pending or unsent."""
         return not self.pending and not self.unsent
 
     def is_within_unsent_limit(self) -> bool:
-        """Whether the client takes its replies fast enough to be read further."""
+        """Return whether the client reads its replies fast enough for more of its input to be read."""
         return len(self.unsent) <= MAX_UNSENT_BYTES
 
     def is_full(self) -> bool:
-        """Whether no further command may be taken."""
+        """Return whether no further command may be processed."""
         return (
             len(self.pending) >= MAX_PENDING_REPLIES
             or self._pending_command_bytes > MAX_PENDING_COMMAND_BYTES
@@ -54,7 +54,7 @@
         )
 
     def add(self, pending_reply: PendingReply) -> None:
-        """Append the reply of the next command."""
+        """Append the reply to the next command."""
         self._pending_command_bytes += pending_reply.command_bytes
         self.pending.append(pending_reply)
 
@@ -78,7 +78,7 @@
         return True
 
     def send(self) -> None:
-        """Send what the system takes at once.
+        """Send as many bytes as the system accepts without blocking.
 
         Raises:
             OSError: the connection is broken.
@@ -93,11 +93,11 @@
         self._memory.release_unsent(sent)
 
     def is_reader_stalled(self, now: float) -> bool:
-        """Whether the client has left replies unread for too long; `now` is of `now_ms`."""
+        """Return whether replies have been left unread too long; `now` is in milliseconds of `now_ms`."""
         return bool(self.unsent) and now - self.last_progress_at > SLOW_READER_TIMEOUT_MS
 
     def close(self) -> deque[PendingReply]:
-        """Drop what is unsent, as the connection is closed, and return the replies that are pending."""
+        """Drop the unsent bytes, as the connection is closed, and return the pending replies."""
         self._memory.release_unsent(len(self.unsent))
         self.unsent = bytearray()
         pending = self.pending
--- a/gateway/network/clients/request_parser.py
+++ b/gateway/network/clients/request_parser.py
@@ -1,7 +1,7 @@
 """Validation of the request commands that clients send, `API.READ` and `API.WRITE`.
 
-The arguments of both are customer, request id, a list of `name=value` attributes and an optional body. They
-come from clients, who are not trusted: each is checked here before the policy sees any of them. The names of
+The arguments of both are customer, request id, a list of `name=value` attributes and an optional body.
+Clients are not trusted: each argument is checked here before the policy receives any of them. The names of
 the attributes are in `request_attributes`.
 """
 
@@ -29,21 +29,21 @@
 )
 
 REQUEST_COMMANDS = {b"API.READ": True, b"API.WRITE": False}
-"""The commands that are requests, and whether each serves idempotent request classes or the others."""
+"""The request commands: True for the command of idempotent request classes, False for that of all others."""
 
 MIN_ARGUMENTS = 4
-"""Fewest arguments of a request command: its name, customer, request id and attributes."""
+"""Minimum number of arguments of a request command: its name, customer, request id and attributes."""
 
 MAX_ARGUMENTS = 5
-"""Most arguments of a request command: the same and a body."""
+"""Maximum number of arguments of a request command: its name, customer, request id, attributes and body."""
 
 MAX_DEADLINE_MULTIPLE = 2.0
-"""Longest remaining time that a request may state, as a multiple of the deadline of its class."""
+"""Maximum remaining time that a request may state, as a multiple of the deadline of its class."""
 
 CUSTOMER_COUNT = 2**33
-"""Number of possible customers; a customer is its number in 16 hexadecimal digits, counted from 0."""
+"""Number of possible customers; a customer is identified by a number from 0, in 16 hexadecimal digits."""
 
-# Strict forms: `float` and `int` also accept nan, 1_0, +1 and spaces.
+# The patterns are strict because `float` and `int` also accept nan, 1_0, +1 and spaces.
 DECIMAL_PATTERN = re.compile(rb"\d{1,12}(?:\.\d{1,12})?")
 INTEGER_PATTERN = re.compile(rb"\d{1,6}")
 CUSTOMER_PATTERN = re.compile(rb"[0-9a-fA-F]{16}")
@@ -54,36 +54,36 @@
 
 
 class InvalidRequestError(GatewayError, ValueError):
-    """A command is not a request that the settings allow; its text is sent to the client as the reason."""
+    """Raised for a command that is not a request the settings allow; the client receives its message."""
 
 
 @dataclass(slots=True)
 class ClientRequest:
     """A valid request of a client, with its arguments as they are forwarded.
 
-    Everything but the remaining time goes to the backend byte for byte as it came.
+    Everything except the remaining time is forwarded to the backend byte for byte.
     """
 
     leading_arguments: bytes
-    """Encoded command, customer and request id."""
+    """The encoded command name, customer and request id."""
     attributes_before_remaining_time: bytes
     attributes_after_remaining_time: bytes
     trailing_arguments: bytes
-    """The encoded body; empty without one."""
+    """The encoded body; empty if the request has none."""
     argument_count: int
     id: str
     customer: str
     request_class: str
     plan: str
     remaining_ms: float
-    """How long the client waits for the reply, from now on, in milliseconds."""
+    """Milliseconds for which the client waits for the reply, from the time the request is parsed."""
     cost: float
     gateway_set_size: int
     gateway_set_start: int
     is_retry: bool
 
     def encode(self, remaining_ms: int) -> bytes:
-        """Encode the command for a backend that has `remaining_ms` milliseconds left to respond."""
+        """Return the encoded command for a backend that has `remaining_ms` milliseconds left to respond."""
         attributes = b"%b%d%b" % (
             self.attributes_before_remaining_time,
             remaining_ms,
@@ -98,7 +98,7 @@
 
 
 class _ClassRules:
-    """The checks of the requests of one class, prepared once rather than at each request."""
+    """Rules for the requests of one class, computed once rather than for each request."""
 
     __slots__ = ("is_idempotent", "max_remaining_ms", "name", "needs_key")
 
@@ -110,7 +110,7 @@
 
 
 class RequestParser:
-    """Turns the arguments of request commands into requests that the settings allow."""
+    """Parses the arguments of request commands into requests that the settings allow."""
 
     def __init__(self, settings: Settings) -> None:
         self._class_rules = {c.name.encode(): _ClassRules(c) for c in settings.request_classes}
@@ -119,14 +119,14 @@
         self._gateway_count = settings.gateway_count
 
     def parse(self, arguments: list[bytes]) -> ClientRequest:
-        """Check the arguments of one of `REQUEST_COMMANDS`, its name included.
+        """Check the arguments of one of `REQUEST_COMMANDS`, including its name, and return the request.
 
-        No later stage checks them again. An unknown plan would have no quota, a negative cost would add to
-        the customer's bucket and lower the counter's total for all gateways, and a customer is stored with
-        the plan of its first request.
+        No later stage checks the arguments again. An unknown plan would have no quota, a negative cost would
+        add to the customer's bucket and lower the counter's total for all gateways, and a customer is stored
+        with the plan of its first request.
 
         Raises:
-            InvalidRequestError: the arguments are no request of a known class, plan and size.
+            InvalidRequestError: the arguments are malformed, out of range or not of a known class and plan.
         """
         if not MIN_ARGUMENTS <= len(arguments) <= MAX_ARGUMENTS:
             raise InvalidRequestError("wrong number of arguments")
@@ -145,7 +145,7 @@
         self._check_gateway_set(gateway_set_size, gateway_set_start)
         remaining_start = _find_remaining_time(attribute_list)
         remaining_end = remaining_start + len(attributes[REMAINING_MS])
-        return ClientRequest(  # by position: with keywords, `parse` as a whole took a tenth longer
+        return ClientRequest(  # positional, as `parse` as a whole took 10% longer with keywords
             encode_bulk_string(command) + encode_bulk_string(customer) + encode_bulk_string(request_id),
             attribute_list[:remaining_start],
             attribute_list[remaining_end:],
@@ -225,7 +225,7 @@
 
 
 def _find_remaining_time(attribute_list: bytes) -> int:
-    """Return where the value of the remaining time begins, in a list that has this attribute."""
+    """Return the index of the value of the remaining time in a list that has this attribute."""
     if attribute_list.startswith(REMAINING_MS_AT_START):
         return len(REMAINING_MS_AT_START)
     return attribute_list.index(REMAINING_MS_AFTER_ANOTHER) + len(REMAINING_MS_AFTER_ANOTHER)
--- a/gateway/network/clients/setup_commands.py
+++ b/gateway/network/clients/setup_commands.py
@@ -1,4 +1,4 @@
-"""Replies to the commands that are no requests: those of connection set-up that client libraries send."""
+"""Replies to commands that are not requests: client libraries send these to set up a connection."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 PING_COMMAND = b"PING"
 
 QUIT_COMMAND = b"QUIT"
-"""Ends the connection once its replies are sent."""
+"""Closes the connection once its replies are sent."""
 
 OK_COMMANDS = {b"CLIENT", b"SELECT", QUIT_COMMAND}
-"""Commands that are acknowledged; a client's name or database has no meaning here."""
+"""Commands that are acknowledged; a client name or a database has no meaning here."""
 
 OK_REPLY = b"+OK\r\n"
 PONG_REPLY = b"+PONG\r\n"
@@ -18,7 +18,7 @@
 
 
 def reply_to_setup_command(command: bytes, arguments: list[bytes]) -> bytes:
-    """Return the encoded reply to a command, named in upper case, with its arguments (its name included)."""
+    """Return the encoded reply to `command`, in upper case, whose name is also the first of `arguments`."""
     if command in OK_COMMANDS:
         return OK_REPLY
     if command != PING_COMMAND:
