--- a/gateway/network/codecs/__init__.py
+++ b/gateway/network/codecs/__init__.py
@@ -1,1 +1,1 @@
-"""Incremental readers of the formats that peers send: RESP and JSON."""
+"""Incremental parsers of the formats that peers send: RESP and JSON."""
--- a/gateway/network/codecs/json_stream.py
+++ b/gateway/network/codecs/json_stream.py
@@ -1,8 +1,8 @@
-"""Incremental JSON: objects out of a byte stream, and the items of a long array a batch at a time.
+"""Incremental JSON parsing: splits a byte stream into objects, and parses a long array in batches.
 
-Each object ends with its line, and may be indented over several lines. An object of several megabytes is
-joined without another copy for each piece that arrives, and its array is parsed in batches, so that the event
-loop can run in between.
+Each object ends at the end of a line, and may be indented over several lines. An object of several megabytes
+is joined without another copy for each piece that arrives, and its array is parsed in batches, so that the
+event loop can run between two batches.
 """
 
 from __future__ import annotations
@@ -15,34 +15,34 @@
 from gateway.errors import GatewayError
 
 MAX_OBJECT_BYTES = 64 * 1024 * 1024
-"""Longest object, in bytes."""
+"""Maximum size of an object."""
 
 MAX_OBJECT_LINES = 1_000_000
-"""Most lines of one indented object."""
+"""Maximum number of lines of an indented object."""
 
 _WHITESPACE = re.compile(r"[ \t\r\n]*")
 _WHITESPACE_CHARACTERS = frozenset(" \t\r\n")
 
 _parse_value = json.JSONDecoder().raw_decode
-"""Parses the value at a position of a text; returns it and the position after it."""
+"""Parses the JSON value at a position of a text; returns the value and the position after it."""
 
 
 class JsonStreamError(GatewayError, ValueError):
-    """The data is not a complete JSON object, or one that exceeds the size limits."""
+    """Raised for data that is not a complete JSON object or exceeds the size limits."""
 
 
 class JsonObjectReader:
-    """Cuts a stream into the texts of its objects; blank lines between them are skipped."""
+    """Splits a stream into the texts of its objects; blank lines between objects are skipped."""
 
     __slots__ = ("_line_pieces", "_lines", "_object_prefix", "_open_braces", "_size_bytes")
 
     def __init__(self, object_prefix: bytes) -> None:
-        """`object_prefix` begins each object on a line of its own, and no other line."""
+        """Create a reader; each single-line object, and no other line, begins with `object_prefix`."""
         self._object_prefix = object_prefix
-        self._lines: list[bytes] = []  # of the object that is incomplete
-        self._line_pieces: list[bytes] = []  # of the line that is incomplete
-        self._open_braces = 0  # of the object
-        self._size_bytes = 0  # bytes of the object
+        self._lines: list[bytes] = []  # complete lines of the incomplete object
+        self._line_pieces: list[bytes] = []  # pieces of the incomplete line
+        self._open_braces = 0  # of the incomplete object
+        self._size_bytes = 0  # of the incomplete object
 
     def feed(self, data: bytes) -> list[bytes]:
         """Return the texts of the objects that `data` completes.
@@ -60,12 +60,12 @@
         if self._size_bytes > MAX_OBJECT_BYTES or len(self._lines) > MAX_OBJECT_LINES:
             raise JsonStreamError(
                 f"expected a JSON object of at most {MAX_OBJECT_BYTES} bytes and {MAX_OBJECT_LINES} lines, "
-                f"got {self._size_bytes} bytes and {len(self._lines)} lines without its end"
+                f"got {self._size_bytes} bytes and {len(self._lines)} lines of an incomplete one"
             )
         return complete
 
     def end(self) -> list[bytes]:
-        """Return the text of the object that the end of the stream completes, if any.
+        """Return the text of the object that the end of the stream completes, in a list that may be empty.
 
         Raises JsonStreamError for an object that is cut short.
         """
@@ -75,11 +75,11 @@
         return [text] if text else []
 
     def _end_line(self) -> bytes:
-        """Return the text of the object that ends with this line; empty if none does."""
+        """End the current line, and return the text of the object that ends with it; empty if none does."""
         line = b"".join(self._line_pieces)
         self._line_pieces = []
         is_blank = not line or line.isspace()
-        # An object that was cut short must not swallow the objects after it.
+        # An object that was cut short must not be joined with the objects after it.
         if self._lines and (is_blank or line.startswith(self._object_prefix)):
             raise JsonStreamError("expected the rest of a JSON object, got a blank line or the next object")
         if not is_blank:
@@ -94,11 +94,11 @@
 
 
 def iterate_array(text: str, array_name: str, batch_size: int, fields: dict[str, Any]) -> Iterator[list[Any]]:
-    """Yield the items of one array of an object, `batch_size` at a time.
+    """Yield the items of the array `array_name` of an object, in batches of `batch_size`.
 
     All other members of the object are added to `fields` as they are reached.
 
-    Raises JsonStreamError where the text is malformed, and RecursionError where it is nested too deeply.
+    Raises JsonStreamError if the text is malformed, and RecursionError if it is nested too deeply.
     """
     try:
         position = _skip_delimiter(text, _skip_whitespace(text, 0), "{")
@@ -115,7 +115,9 @@
     except JsonStreamError:
         raise
     except IndexError as error:
-        raise JsonStreamError(f"expected the rest of a JSON object, got its end at {len(text)}") from error
+        raise JsonStreamError(
+            f"expected the rest of a JSON object, got the end of the text at position {len(text)}"
+        ) from error
     except (ValueError, TypeError) as error:
         raise JsonStreamError(f"expected a JSON value: {type(error).__name__}: {error}") from error
     end = _skip_whitespace(text, position + 1)
@@ -140,21 +142,24 @@
 
 
 def _skip_whitespace(text: str, position: int) -> int:
-    if text[position : position + 1] not in _WHITESPACE_CHARACTERS:  # most often there is nothing to skip
+    if text[position : position + 1] not in _WHITESPACE_CHARACTERS:  # usually there is nothing to skip
         return position
     match = _WHITESPACE.match(text, position)
     return match.end() if match else position
 
 
 def _skip_delimiter(text: str, position: int, delimiter: str) -> int:
-    """Return where the text after a delimiter begins. Raises JsonStreamError if it is not there."""
+    """Return the position after a delimiter and whitespace.
+
+    Raises JsonStreamError if the delimiter is missing.
+    """
     if text[position] != delimiter:
         raise JsonStreamError(f"expected {delimiter!r} at position {position}, got {text[position]!r}")
     return _skip_whitespace(text, position + 1)
 
 
 def _find_next_item(text: str, position: int, closing: str) -> int:
-    """Return where the next item begins, or the position of the closing bracket if there is none."""
+    """Return the position of the next item, or of the closing bracket if there is no further item."""
     position = _skip_whitespace(text, position)
     if text[position] == closing:
         return position
--- a/gateway/network/codecs/resp_commands.py
+++ b/gateway/network/codecs/resp_commands.py
@@ -1,7 +1,7 @@
 """Incremental parser of the commands that clients send: RESP2 arrays of bulk strings.
 
-Clients are not trusted: a length out of range is rejected at its header, and what is buffered of an
-incomplete command is bounded.
+Clients are not trusted: a length out of range is rejected as soon as its header is parsed, and the bytes
+buffered of an incomplete command are bounded.
 """
 
 from __future__ import annotations
@@ -11,17 +11,20 @@
 from .resp import ProtocolError
 
 MAX_ARGUMENTS = 16
-"""Most arguments of one command: a request has up to five, set-up commands of client libraries a few more."""
+"""Maximum number of arguments of a command.
+
+A request has up to five, and set-up commands of client libraries have a few more.
+"""
 
 MAX_ARGUMENT_BYTES = 64 * 1024
-"""Longest argument: the largest value that the protocol allows."""
+"""Maximum size of an argument, which is that of the largest value that the protocol allows."""
 
 MAX_COMMAND_BYTES = MAX_ARGUMENT_BYTES + 4 * 1024
-"""Longest command, over all its arguments: a largest value and what goes with it."""
+"""Maximum size of all arguments of a command together: a value of maximum size and the other arguments."""
 
 COMPACTION_THRESHOLD_BYTES = 32 * 1024
-"""Parsed bytes that are kept at the front of the buffer before they are deleted together; each deletion moves
-what follows them."""
+"""Parsed bytes that may stay at the front of the buffer after a command; they are deleted together, because
+each deletion moves the bytes that follow."""
 
 ARRAY_HEADER = re.compile(rb"\*(\d{1,6})\r\n")
 BULK_STRING_HEADER = re.compile(rb"\$(\d{1,6})\r\n")
@@ -29,17 +32,18 @@
     ARRAY_HEADER: re.compile(rb"\*(?:\d{0,6}|\d{1,6}\r)"),
     BULK_STRING_HEADER: re.compile(rb"\$(?:\d{0,6}|\d{1,6}\r)"),
 }
-"""For each header, the form of its beginnings: input that may still become one."""
+"""Patterns of input that may still become a header, by the pattern of that header."""
 
 MAX_HEADER_BYTES = 10
-"""Longer than any header: a line that never ends is rejected by its first bytes."""
+"""Bytes that are checked for an incomplete header; they exceed the longest header, so that a line that never
+ends is rejected by its first bytes."""
 
 UNKNOWN_LENGTH = -1
-"""In place of the length of an argument whose header is not parsed yet."""
+"""Used as the length of an argument whose header is not parsed yet."""
 
 
 class CommandParser:
-    """Cuts the bytes of one client into commands."""
+    """Splits the bytes of one client into commands."""
 
     __slots__ = (
         "_argument_length",
@@ -52,11 +56,11 @@
 
     def __init__(self) -> None:
         self._buffer = bytearray()
-        self._position = 0  # in the buffer; what is before it has been parsed
-        self._arguments: list[bytes] = []  # of the command that has begun
-        self._arguments_left = 0  # 0 between commands
+        self._position = 0  # in `_buffer`; all bytes before it have been parsed
+        self._arguments: list[bytes] = []  # of the incomplete command
+        self._arguments_left = 0  # to parse of the incomplete command; 0 between commands
         self._argument_length = UNKNOWN_LENGTH  # of the next argument, once its header is parsed
-        self._command_bytes = 0  # announced by the headers of the arguments so far
+        self._command_bytes = 0  # sum of the lengths in the argument headers parsed so far
 
     def feed(self, data: bytes | memoryview) -> None:
         """Append bytes received from the client."""
@@ -70,16 +74,16 @@
 
     @property
     def buffered_bytes(self) -> int:
-        """Bytes buffered of commands that are not returned yet; 0 only between commands."""
+        """Bytes of commands that are buffered and not returned yet; 0 only between commands."""
         has_begun = 1 if self._arguments_left else 0
         return len(self._buffer) - self._position + self._command_bytes + has_begun
 
     def next_command(self) -> list[bytes] | None:
-        """Return the arguments of the next complete command, None if there is none yet.
+        """Return the arguments of the next complete command, or None if there is none yet.
 
         Raises:
             ProtocolError: the client sent something other than an array of bulk strings, or one that is too
-                long. The message has one of a few fixed texts, by which rejections are counted.
+                long. The message is one of a few fixed texts, because rejections are counted by text.
         """
         buffer = self._buffer
         while True:
@@ -100,7 +104,7 @@
                 return self._finish_command()
 
     def _parse_command_header(self) -> bool:
-        """Parse the header of a command; whether it is complete."""
+        """Parse the header of a command, and return whether it is complete."""
         header = ARRAY_HEADER.match(self._buffer, self._position)
         if header is None:
             self._check_partial_header(ARRAY_HEADER)
@@ -113,7 +117,7 @@
         return True
 
     def _parse_argument_header(self) -> bool:
-        """Parse the header of an argument; whether it is complete."""
+        """Parse the header of an argument, and return whether it is complete."""
         header = BULK_STRING_HEADER.match(self._buffer, self._position)
         if header is None:
             self._check_partial_header(BULK_STRING_HEADER)
@@ -127,7 +131,7 @@
         return True
 
     def _check_partial_header(self, header: re.Pattern[bytes]) -> None:
-        """Reject input that cannot become this header, without waiting for the end of its line."""
+        """Raise ProtocolError for input that cannot become this header, even before the end of its line."""
         rest = self._buffer[self._position : self._position + MAX_HEADER_BYTES]
         if rest and not PARTIAL_HEADERS[header].fullmatch(rest):
             raise ProtocolError("expected an array of bulk strings")
@@ -136,6 +140,7 @@
         arguments = self._arguments
         self._arguments = []
         self._command_bytes = 0
-        if self._position > COMPACTION_THRESHOLD_BYTES:  # no further input may follow for a long time
+        # `feed` compacts, too, but no further input may arrive for a long time.
+        if self._position > COMPACTION_THRESHOLD_BYTES:
             self._compact()
         return arguments
--- a/gateway/network/codecs/resp_replies.py
+++ b/gateway/network/codecs/resp_replies.py
@@ -1,7 +1,8 @@
 """Parser of backends' replies: an array of value, usage figures and load report, or an error line.
 
-Backends are not trusted. Only the protocol's own forms are read, a length out of range is rejected at its
-header, and a malformed figure or report does not invalidate the value before it.
+Backends are not trusted. Only the types that the protocol uses are accepted, a length out of range is
+rejected as soon as its header is parsed, and malformed usage figures or a malformed load report do not
+invalidate the value before them.
 """
 
 from __future__ import annotations
@@ -12,28 +13,28 @@
 from .resp import ProtocolError
 
 MAX_VALUE_BYTES = 1024 * 1024
-"""Longest value, in bytes; backends send values well over the 64 KiB of the protocol."""
+"""Maximum size of a value; backends send values well over the 64 KiB that the protocol allows."""
 
 MAX_ERROR_BYTES = 1024
-"""Longest error line, in bytes, with its first byte and its line end."""
+"""Maximum size of an error line, including its first byte and its line end."""
 
 MAX_METADATA_BYTES = 4 * 1024
-"""Longest usage figures or load report, in bytes on the wire."""
+"""Maximum size of usage figures or of a load report on the wire."""
 
 METADATA_FIELD_COUNT = 2
 """Number of fields after the value: usage figures and load report."""
 
 MAX_HEADER_BYTES = 20
-"""Bytes that hold the longest array and value header with its line ends."""
+"""Bytes that are enough for the longest header of an array and its value, including line ends."""
 
 MAX_FIELD_HEADER_BYTES = 22
-"""Bytes that hold the longest header of a field after the value, a negative integer of 18 digits."""
+"""Bytes that are enough for the longest field header after the value: a negative integer of 18 digits."""
 
 MAX_QUOTED_BYTES = 12
-"""Bytes of a malformed reply that its error quotes."""
+"""Maximum number of bytes of a malformed reply that the error message quotes."""
 
 MALFORMED_FIELD = -1
-"""In place of the position after a field that has none of the known forms."""
+"""Returned for a malformed field instead of the position after it."""
 
 VALUE_HEADER = re.compile(rb"\*3\r\n\$(\d{1,7})\r\n")
 PARTIAL_VALUE_HEADER = re.compile(rb"\*(?:3(?:\r(?:\n(?:\$(?:\d{0,7}|\d{1,7}\r))?)?)?)?")
@@ -47,13 +48,13 @@
     value: bytes | None
     """The value; None if the reply is an error line."""
     error: bytes
-    """The error line without its first byte and its line end; empty beside a value."""
+    """The error line without its first byte and its line end; empty if there is a value."""
     ends_cleanly: bool
     """Whether the reply was complete and nothing followed it: only then may its connection be reused."""
 
 
 def parse_reply(data: bytearray) -> Reply | None:
-    """Return the reply that `data` begins with, None while it is incomplete.
+    """Return the reply at the start of `data`, or None while it is incomplete.
 
     Raises:
         ProtocolError: `data` cannot become a reply, or one of its lengths is out of range.
@@ -98,7 +99,7 @@
 
 
 def _find_field_end(data: bytearray, position: int) -> int | None:
-    """Return the position after the field at `position` or `MALFORMED_FIELD`, None while it is incomplete."""
+    """Return the position after the field at `position`, None if incomplete, or `MALFORMED_FIELD`."""
     if header := FIELD_HEADER.match(data, position):
         if header[1] is None:
             return header.end()
