--- a/gateway/network/clients/command_reader.py
+++ b/gateway/network/clients/command_reader.py
@@ -29,7 +29,7 @@
 
 
 class ReceiveBuffer:
-    """A buffer that all connections share; each copies its input out of it immediately after a read."""
+    """A buffer that all connections share; each copies its input out of the buffer right after a read."""
 
     __slots__ = ("data", "view")
 
@@ -138,7 +138,7 @@
         self._parser = CommandParser()
 
     def report_read_ahead(self) -> None:
-        """Update the total over all connections by the change of the input buffered for this one."""
+        """Add the change in the input buffered here to the total over all connections."""
         read_ahead_bytes = self._parser.buffered_bytes
         self._memory.change_read_ahead(read_ahead_bytes - self._reported_read_ahead_bytes)
         self._reported_read_ahead_bytes = read_ahead_bytes
--- a/gateway/network/clients/connection.py
+++ b/gateway/network/clients/connection.py
@@ -1,7 +1,7 @@
 """One connection of a client: processes commands and sends their replies in the same order.
 
-The connection uses its socket directly, so that the memory that a client can make the process use is bounded,
-and so that the client's disconnect can be detected just before an attempt begins.
+The connection reads and writes its socket itself, without an asyncio transport. This bounds the memory that
+a client can make the process use, and makes the client's disconnect detectable just before an attempt begins.
 """
 
 from __future__ import annotations
@@ -151,7 +151,7 @@
     # ---- commands ----
 
     def process_input(self) -> None:
-        """Process commands and send replies until neither can go on.
+        """Process commands and send replies until there is nothing more to do or a limit is reached.
 
         Replies that are completed together are sent together.
         """
@@ -254,11 +254,14 @@
 
     @property
     def is_between_commands(self) -> bool:
-        """Whether the connection is idle and no command has begun on it, which may become a request."""
+        """Whether the connection is idle and has received no part of a command.
+
+        Only then may the connection be closed, as the first bytes of a command may become a request.
+        """
         return self.is_idle and not self.reader.buffered_bytes
 
     def close_if_unused(self) -> bool:
-        """Close unless a command or reply is open, also in input that has arrived and is not read yet.
+        """Read the input that has arrived, and close unless a command has begun or a reply is open.
 
         Returns:
             Whether the connection is closed.
--- a/gateway/network/clients/listener.py
+++ b/gateway/network/clients/listener.py
@@ -23,8 +23,8 @@
 """Maximum number of connections that wait in the kernel to be accepted; they use no descriptor there."""
 
 MAX_ACCEPTS_PER_ITERATION = 32
-"""Maximum number of connections accepted in one iteration of the event loop; the connections accepted so far
-are read between two iterations."""
+"""Maximum number of connections accepted in one iteration of the event loop; the next iteration
+also reads from the connections accepted so far."""
 
 ACCEPT_RETRY_MS = 20.0
 """Milliseconds until accepting is retried after capacity or descriptors ran out."""
@@ -126,7 +126,8 @@
     def _on_connections_waiting(self) -> None:
         for accepted_count in range(MAX_ACCEPTS_PER_ITERATION):
             if accepted_count and len(self.connections) >= self.max_connections:
-                # Only the first accept is certain that a connection waits; others might evict one needlessly.
+                # Only the first accept is certain to find a waiting connection. A later one might evict a
+                # connection needlessly.
                 return
             if not self._accept_one():
                 return
@@ -232,8 +233,8 @@
         """Stop accepting connections, and close each connection as soon as its replies are sent.
 
         Connections in the kernel's queue are accepted first: their clients may have sent a request already,
-        and closing the listening socket would reset the connections. These then stay open for at least
-        `FIRST_REQUEST_GRACE_MS`, so that requests in transit can arrive.
+        and closing the listening socket would reset the connections. Requests in transit have
+        `FIRST_REQUEST_GRACE_MS` to arrive.
         """
         self.is_draining = True
         for connection in list(self.connections):
--- a/gateway/network/clients/memory.py
+++ b/gateway/network/clients/memory.py
@@ -29,7 +29,7 @@
         self.read_ahead_bytes += change
 
     def is_within_read_ahead_limit(self) -> bool:
-        """Return whether connections may read ahead more than the bytes that each of them always may."""
+        """Return whether connections may read ahead beyond the amount that each is always allowed."""
         return self.read_ahead_bytes <= self.max_read_ahead_bytes
 
     def is_unsent_limit_exceeded(self) -> bool:
--- a/gateway/network/clients/pending_reply.py
+++ b/gateway/network/clients/pending_reply.py
@@ -61,7 +61,7 @@
         return self.open_request_id
 
     def detect_disconnect(self) -> None:
-        """Call `ReplyConnection.detect_disconnect` of the connection."""
+        """Close the connection if the client has disconnected; see `ReplyConnection.detect_disconnect`."""
         self.connection.detect_disconnect()
 
 
--- a/gateway/network/clients/request_attributes.py
+++ b/gateway/network/clients/request_attributes.py
@@ -36,4 +36,4 @@
 """Attribute: number of gateways that receive the customer's requests."""
 
 GATEWAY_SET_START = b"first"
-"""Attribute: index of the first gateway that receives the customer's requests."""
+"""Attribute: index of the first of the gateways that receive the customer's requests."""
--- a/gateway/network/clients/setup_commands.py
+++ b/gateway/network/clients/setup_commands.py
@@ -18,7 +18,7 @@
 
 
 def reply_to_setup_command(command: bytes, arguments: list[bytes]) -> bytes:
-    """Return the encoded reply to `command`, in upper case, whose name is also the first of `arguments`."""
+    """Return the encoded reply to `command`, which is in upper case; `arguments` begin with its name."""
     if command in OK_COMMANDS:
         return OK_REPLY
     if command != PING_COMMAND:
--- a/tests/network/clients/test_client_connection.py
+++ b/tests/network/clients/test_client_connection.py
@@ -1,4 +1,4 @@
-"""A client's connection: its replies, their order and the bounds on its memory, over loopback sockets."""
+"""Tests of a client's connection over loopback sockets: its replies, their order and its memory limits."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from tests.support.resp_peer import encode_command
 
 BULK_ARGUMENT = b"x" * 65536
-"""A large argument of `PING`, which is sent back in the reply."""
+"""A large argument of `PING`, which the reply repeats."""
 
 
 class PausedBackend(FakeBackend):
-    """A backend that serves each request with its id, and none until it is resumed."""
+    """A backend that serves each request with the request's id, but serves none before it is resumed."""
 
     def __init__(self) -> None:
         super().__init__(self.serve_id)
@@ -77,9 +77,8 @@
             + encode_command(*request_command(b"late"))
         )
 
-        assert (
-            await rejected_client.receive() == b"value"
-        )  # the request before the error still gets its reply
+        # The request before the error still gets its reply.
+        assert await rejected_client.receive() == b"value"
         assert is_error(await rejected_client.receive())
         assert await rejected_client.receive() is None
         assert await harness.request(other_client, id=b"other") == b"value"
@@ -88,7 +87,7 @@
 
 @runs_in_loop
 async def test_input_after_a_protocol_error_is_not_buffered(client_listeners: list[ClientListener]) -> None:
-    """The connection stays open for its earlier replies, and the client may go on writing to it."""
+    """The connection stays open for earlier replies, and a client that keeps writing could fill memory."""
     backend = PausedBackend()
     async with running_gateway(GatewayHarness(backend)) as harness:
         (listener,) = client_listeners
@@ -99,7 +98,7 @@
         peer.writer.write(encode_command(*request_command(b"early")) + b"?what\r\n" + b"x" * 10_000_000)
         await wait_until(lambda: backend.received)
         assert connection.reader.is_discarding_input
-        await peer.writer.drain()  # all is read, as a disconnect could only be seen behind it
+        await peer.writer.drain()  # all input is read, as a disconnect can be detected only behind it
 
         assert connection.reader.buffered_bytes <= command_reader.RECEIVE_BUFFER_BYTES
         backend.resumed.set()
@@ -118,7 +117,7 @@
         peer.close()
 
         await wait_until(lambda: backend.ended)
-        # The id is free again: the request is not open any more.
+        # The id can be used again, because the request is no longer open.
         backend.script = backend.serve
         assert await harness.request(await harness.client()) == b"value"
 
@@ -161,7 +160,7 @@
 
 @runs_in_loop
 async def test_a_slow_reader_does_not_grow_memory(client_listeners: list[ClientListener]) -> None:
-    """No more is read from a client that does not read its replies, so that they stay few."""
+    """The gateway must stop reading from a client that does not read its replies: they would fill memory."""
     async with running_gateway(GatewayHarness(FakeBackend())) as harness:
         (listener,) = client_listeners
         peer = await harness.client()
@@ -177,7 +176,7 @@
         pending_bytes = sum(len(pending.reply or b"") for pending in connection.replies.pending)
         buffered_bytes = len(connection.replies.unsent) + pending_bytes
         assert buffered_bytes <= reply_queue.MAX_UNSENT_BYTES + 2 * 66_000
-        for _ in range(sent_commands):  # once the client reads, it receives all of them
+        for _ in range(sent_commands):  # once the client reads, it receives all replies
             assert await peer.receive() == BULK_ARGUMENT
 
 
@@ -194,7 +193,7 @@
         peer.writer.transport.pause_reading()  # type: ignore[attr-defined]
         await wait_until(lambda: listener.connections)
 
-        while listener.connections:  # until the test's time limit, if it is not closed
+        while listener.connections:  # if the client is not closed, the test ends at its time limit
             peer.send(b"PING", BULK_ARGUMENT)
             await asyncio.sleep(0)
 
@@ -213,7 +212,7 @@
 async def test_a_command_incomplete_at_its_deadline_ends_its_connection(
     monkeypatch: pytest.MonkeyPatch, complete: bytes, incomplete: bytes
 ) -> None:
-    """A client that sends half a command, or nothing at all, would keep a descriptor for ever."""
+    """A client that sends only a part of a command, or nothing, would use a descriptor forever."""
     monkeypatch.setattr(command_reader, "COMMAND_TIMEOUT_MS", 500.0)
     monkeypatch.setattr(client_listener, "SWEEP_INTERVAL_MS", 10.0)
 
@@ -228,4 +227,4 @@
             assert await peer.receive() == b"value"
         assert is_error(await peer.receive())
         assert await peer.receive() is None
-        assert await harness.request(idle, id=b"later") == b"value"  # being idle between commands is allowed
+        assert await harness.request(idle, id=b"later") == b"value"  # a client may be idle between commands
--- a/tests/network/clients/test_client_endings.py
+++ b/tests/network/clients/test_client_endings.py
@@ -1,4 +1,4 @@
-"""Ways in which a client's connection ends, on real sockets, each while requests of the client are open."""
+"""Tests of the ways in which a client's connection ends while its requests are open, on real sockets."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 @pytest.mark.parametrize("trailing_input", [b"", b"?what\r\n", encode_command(b"QUIT")])
 @runs_in_loop
 async def test_disconnect_behind_pipelined_requests_is_detected(trailing_input: bytes) -> None:
-    """It comes behind more requests than may be pending, or behind what made the connection stop reading."""
+    """The disconnect follows more requests than may be pending, or input that ends command processing."""
     async with running_listener() as (listener, handler, port):
         peer = await connect(port)
         request_count = MAX_PENDING_REPLIES * (1 if trailing_input else 3)
@@ -37,12 +37,12 @@
         assert sorted(handler.disconnected) == sorted(handler.pending)
         for pending_reply in list(handler.pending.values()):
             pending_reply.complete(b"+late\r\n")
-        # What was read ahead is not processed any more.
+        # The input read ahead is no longer processed.
         assert len(handler.pending) == MAX_PENDING_REPLIES
 
 
 def send_backlog_and_close(port: int, byte_count: int) -> None:
-    """Send pipelined requests, as many as the system takes, and close."""
+    """Send pipelined requests of up to `byte_count` bytes, as far as the system accepts them, and close."""
     client = socket.socket()
     client.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4 * byte_count)
     client.connect((LOCAL, port))
@@ -57,7 +57,7 @@
 
 @runs_in_loop
 async def test_disconnect_behind_a_large_backlog_is_detected() -> None:
-    """Until the backlog is read, the disconnect has not reached this machine and cannot be polled for."""
+    """The disconnect reaches this machine only once the backlog is read; polling cannot detect it before."""
     async with running_listener(memory_bytes=16 * 2**20) as (listener, handler, port):
         send_backlog_and_close(port, 4 * MAX_READ_AHEAD_BYTES)
         async with asyncio.timeout(5):
@@ -71,7 +71,7 @@
 @pytest.mark.parametrize("memory_bytes", [0, 1_000_000])
 @runs_in_loop
 async def test_read_ahead_of_one_connection_is_bounded(memory_bytes: int) -> None:
-    """The bound is that of one connection, or that of all together if this is greater."""
+    """The limit is that of one connection, or that of all connections together if it is greater."""
     async with running_listener(memory_bytes=memory_bytes) as (listener, handler, port):
         peer = await connect(port)
         ids = [b"%05d" % number for number in range(10_000)]
@@ -83,7 +83,7 @@
         limit = max(MAX_READ_AHEAD_BYTES, listener.memory.max_read_ahead_bytes)
         assert connection.reader.buffered_bytes == listener.memory.read_ahead_bytes
         assert limit < listener.memory.read_ahead_bytes <= limit + RECEIVE_BUFFER_BYTES
-        for id in ids:  # all of it is answered once there is capacity
+        for id in ids:  # every request is answered once there is capacity
             await wait_until(lambda id=id: id.decode() in handler.pending)  # type: ignore[misc]
             handler.pending[id.decode()].complete(encode_command(id))
         assert [await peer.receive() for _ in ids] == [[id] for id in ids]
@@ -95,7 +95,7 @@
 async def test_disconnect_behind_unreadable_input_is_detected(
     detected_by: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It has reached this machine, where as much has been read ahead as the bounds allow."""
+    """The disconnect has reached this machine, but the read-ahead limits prevent reading up to it."""
     monkeypatch.setattr(client_listener, "SWEEP_INTERVAL_MS", 20.0 if detected_by == "a sweep" else 1e9)
 
     async with running_listener(memory_bytes=0) as (listener, handler, port):
@@ -124,13 +124,13 @@
         expected = [f"g{number:04}" for number in range(MAX_PENDING_REPLIES)]
         assert sorted(handler.disconnected) == expected
         for _ in range(20):
-            assert is_detected()  # the other client stays connected, with as much input unread
+            assert is_detected()  # the other client, with as much unread input, stays connected
             await asyncio.sleep(0.002)
 
 
 @runs_in_loop
 async def test_read_ahead_memory_is_freed_once_processed() -> None:
-    """Otherwise each connection would in turn retain as much as all together may read ahead."""
+    """If it were not freed, each connection could in turn retain as much as all together may read ahead."""
     async with running_listener(memory_bytes=16 * 2**20) as (listener, handler, port):
         peer = await connect(port)
         ids = [b"%05d" % number for number in range(10_000)]
@@ -149,7 +149,7 @@
 
 @runs_in_loop
 async def test_read_ahead_of_all_connections_is_bounded() -> None:
-    """Each may read its own part ahead; one that has more reads on once others have released memory."""
+    """Each may read ahead up to its own limit, and continues once other connections have released memory."""
     limit_per_connection = MAX_READ_AHEAD_BYTES
     async with running_listener(memory_bytes=8 * limit_per_connection) as (listener, _handler, port):
         memory = listener.memory
@@ -184,14 +184,14 @@
 @pytest.mark.parametrize("ending", ["close", "reset", "end of sending"])
 @runs_in_loop
 async def test_client_counts_as_disconnected_however_its_connection_ends(ending: str) -> None:
-    """Also while replies are pending: the protocol has no other way to cancel a request."""
+    """Pending replies must not hide a disconnect: the protocol has no other way to cancel a request."""
     async with running_listener() as (listener, handler, port):
         unknown_command = encode_command(b"CANCEL", b"waits")
         client = connect_at_once(
             port, pipelined_requests([b"waits"]) + unknown_command + pipelined_requests([b"too"])
         )
         await wait_until(lambda: len(handler.pending) == 2)
-        assert not handler.disconnected  # no command ends a request
+        assert not handler.disconnected  # no command cancels a request
 
         if ending == "end of sending":
             client.shutdown(socket.SHUT_WR)
--- a/tests/network/clients/test_client_listener.py
+++ b/tests/network/clients/test_client_listener.py
@@ -1,4 +1,4 @@
-"""The bounds on all client connections of a gateway together, over loopback sockets."""
+"""Tests of the limits on all client connections of a gateway together, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -51,14 +51,14 @@
         late = await harness.client()
 
         assert await harness.request(late, id=b"late") == b"value"
-        # A connection that has sent a request is not evicted for those without one.
+        # A connection that has sent a request is not evicted for connections without one.
         assert await harness.request(active, id=b"again") == b"value"
         for peer in idle[:50]:
             assert await peer.receive() is None
 
 
 class ExhaustedSocket:
-    """A listening socket whose first accepts fail, as no descriptor is left."""
+    """A listening socket whose first `failures` accepts fail because no descriptor is left."""
 
     def __init__(self, listening_socket: socket.socket, failures: int) -> None:
         self.listening_socket = listening_socket
--- a/tests/network/clients/test_request_parser.py
+++ b/tests/network/clients/test_request_parser.py
@@ -1,4 +1,4 @@
-"""Which requests of clients are valid, and how they are forwarded, over loopback sockets."""
+"""Tests of which requests of clients are valid and how they are forwarded, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -35,11 +35,11 @@
     (b"first=0", [b"first=", b"first=-1", b"first=x"], "first is no number"),
     (b"first=0", [b"first=1"], "set out of range"),
 ]
-"""An attribute, invalid ones in its place, and the reason with which they are rejected."""
+"""A valid attribute, invalid replacements, and the reason with which a request with these is rejected."""
 
 
 def replace_attribute(valid: bytes, invalid: bytes, command: bytes = b"API.READ") -> tuple[bytes, ...]:
-    """Return a request that is valid except for one replaced attribute."""
+    """Return a request in which the attribute `invalid` replaces `valid`."""
     assert valid in ATTRIBUTES
     return command, CUSTOMER, b"b", ATTRIBUTES.replace(valid, invalid)
 
@@ -88,7 +88,7 @@
 
 @runs_in_loop
 async def test_values_and_bodies_pass_unchanged_and_backends_receive_the_remaining_time() -> None:
-    # Line ends inside the largest value would show an encoding that relies on them.
+    # The largest value contains line ends, so an encoding that relies on line ends would fail.
     largest_value = bytes(range(256)) * 256
     backend = FakeBackend(always(served_reply(largest_value)))
     async with running_gateway(GatewayHarness(backend)) as harness:
--- a/tests/network/codecs/test_json_stream.py
+++ b/tests/network/codecs/test_json_stream.py
@@ -1,4 +1,4 @@
-"""Incremental JSON: objects out of a stream in pieces, and arrays in batches."""
+"""Tests of incremental JSON parsing: objects from a stream in pieces, and arrays in batches."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def read_batches(text: str) -> tuple[list[list[Any]], dict[str, Any]]:
-    """Return the batches of the array `hosts`, and the other members."""
+    """Return the batches of the array `hosts`, and the other members of the object."""
     fields: dict[str, Any] = {}
     batches = list(iterate_array(text, "hosts", BATCH_SIZE, fields))
     return batches, fields
@@ -40,7 +40,7 @@
 def test_batches_hold_the_array_at_any_position(
     hosts: Any, is_snapshot: bool, indent: int | None, array_index: int
 ) -> None:
-    """The array may stand before, between or after the other members."""
+    """The array may come before, between or after the other members of the object."""
     members: list[tuple[str, Any]] = [("seq", 41), ("whole", is_snapshot)]
     members.insert(array_index, ("hosts", hosts))
 
--- a/tests/network/codecs/test_resp_commands.py
+++ b/tests/network/codecs/test_resp_commands.py
@@ -1,4 +1,4 @@
-"""Which input of clients is a command, over loopback sockets."""
+"""Tests of which input of clients is accepted as a command, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
 )
 @runs_in_loop
 async def test_input_that_cannot_become_a_command_is_rejected_at_once(data: bytes) -> None:
-    """The error does not wait for the end of a line that may never end, nor for 60 MB."""
+    """The error must not wait for a line end that may never come, or for an argument of 60 MB."""
     async with running_gateway(GatewayHarness(FakeBackend())) as harness:
         peer = await harness.client()
 
@@ -86,7 +86,7 @@
 
 @runs_in_loop
 async def test_many_small_commands_in_one_read_are_all_answered() -> None:
-    """If each round of pending commands were processed by a nested call, the stack would overflow."""
+    """The stack would overflow if each batch of pending commands were processed in a nested call."""
     async with running_gateway(GatewayHarness(FakeBackend())) as harness:
         peer = await harness.client()
         command_count = 60_000
