--- a/tests/network/clients/test_client_endings.py
+++ b/tests/network/clients/test_client_endings.py
@@ -130,7 +130,7 @@
 
 @runs_in_loop
 async def test_read_ahead_memory_is_freed_once_processed() -> None:
-    """If it were not freed, each connection could in turn retain as much as all together may read ahead."""
+    """If the memory were kept, each connection in turn could hold as much as all may read ahead together."""
     async with running_listener(memory_bytes=16 * 2**20) as (listener, handler, port):
         peer = await connect(port)
         ids = [b"%05d" % number for number in range(10_000)]
@@ -149,7 +149,7 @@
 
 @runs_in_loop
 async def test_read_ahead_of_all_connections_is_bounded() -> None:
-    """Each may read ahead up to its own limit, and continues once other connections have released memory."""
+    """A connection may read ahead up to its own limit, and continues once others have released memory."""
     limit_per_connection = MAX_READ_AHEAD_BYTES
     async with running_listener(memory_bytes=8 * limit_per_connection) as (listener, _handler, port):
         memory = listener.memory
