--- a/tests/network/clients/test_request_parser.py
+++ b/tests/network/clients/test_request_parser.py
@@ -50,10 +50,8 @@
     ((b"API.READ", CUSTOMER, b"b", b"nonsense"), "malformed attributes"),
     ((b"API.READ", CUSTOMER, b"b", ATTRIBUTES + b",d=3"), "malformed attributes"),
     ((b"API.READ", b"a", b"b", ATTRIBUTES), "malformed customer"),
-    (
-        (b"API.READ", b"0000000200000000", b"b", ATTRIBUTES),
-        "malformed customer",
-    ),  # 2**33, the first number that is no customer
+    # The first number that is no customer is 2**33.
+    ((b"API.READ", b"0000000200000000", b"b", ATTRIBUTES), "malformed customer"),
     ((b"API.READ", b"+0000000b4d65521", b"b", ATTRIBUTES), "malformed customer"),
     ((b"API.READ", b"\xff" * 16, b"b", ATTRIBUTES), "malformed customer"),
     ((b"API.READ", CUSTOMER, b"", ATTRIBUTES), "malformed id"),
