--- a/benchmarks/capacity_slopes/listed_backends.py
+++ b/benchmarks/capacity_slopes/listed_backends.py
@@ -153,7 +153,7 @@
     """
     ready = EndpointState.READY
     return [
-        pool.update(  # type: ignore[func-returns-value]
+        pool.update_endpoint(  # type: ignore[func-returns-value]
             endpoint.backend_id, Address(f"10.0.{number >> 8}.{number & 255}", number), ready
         )
         for number, endpoint in enumerate(endpoints)
--- a/gateway/network/backends/attempt.py
+++ b/gateway/network/backends/attempt.py
@@ -14,10 +14,10 @@
 class AttemptConnection(Protocol):
     """The connection that an attempt is on, as far as abandoning the attempt needs it."""
 
-    def end(self, outcome: Outcome) -> None:
+    def close_and_end_attempt(self, outcome: Outcome) -> None:
         """Close the connection, then end the attempt on it with `outcome`."""
 
-    def break_outcome(self) -> Outcome:
+    def outcome_if_broken(self) -> Outcome:
         """Return the outcome of the attempt if the connection broke now."""
 
 
@@ -29,7 +29,7 @@
     """
 
     backend_id: int
-    encode: Callable[[int], bytes]
+    encode_request: Callable[[int], bytes]
     """Returns the request as it is sent, given the milliseconds until its deadline."""
     deadline: float
     """When the client stops waiting."""
@@ -37,7 +37,7 @@
     """Takes the attempt, its outcome and the value of the reply (empty without one)."""
     start_before: float = math.inf
     """When the first byte may be written at the latest."""
-    detect_disconnect: Callable[[], None] | None = None
+    detect_client_disconnect: Callable[[], None] | None = None
     """Abandons the attempt if its client has disconnected."""
     connection: AttemptConnection | None = field(default=None, init=False)
     """The connection that it is on; None before the attempt has one, and once it has ended."""
@@ -51,7 +51,7 @@
             return
         self._timeout_timer = timer
 
-    def begin_on(self, connection: AttemptConnection) -> None:
+    def attach_connection(self, connection: AttemptConnection) -> None:
         """Use this connection, which ends the attempt with its own end."""
         self.connection = connection
 
--- a/gateway/network/backends/connecting.py
+++ b/gateway/network/backends/connecting.py
@@ -32,20 +32,20 @@
         BackendConnectError: no socket could be opened, or the system rejected the connect at once.
     """
     try:
-        connecting = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        new_socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     except OSError as error:
         raise BackendConnectError(address, _reason_of(error)) from error
     try:
-        connecting.setblocking(False)
-        connecting.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        result = connecting.connect_ex(address)
+        new_socket.setblocking(False)
+        new_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        result = new_socket.connect_ex(address)
     except OSError as error:
-        connecting.close()
+        new_socket.close()
         raise BackendConnectError(address, _reason_of(error)) from error
     if result not in PENDING_CONNECT_RESULTS:
-        connecting.close()
+        new_socket.close()
         raise BackendConnectError(address, os.strerror(result))
-    return connecting
+    return new_socket
 
 
 def _reason_of(error: OSError) -> str:
--- a/gateway/network/backends/connection.py
+++ b/gateway/network/backends/connection.py
@@ -38,7 +38,7 @@
         "attempt",
         "endpoint",
         "fd",
-        "idle_before_ms",
+        "idle_ms_before_request",
         "idle_since",
         "is_closed",
         "is_connected",
@@ -71,10 +71,10 @@
         self.is_closed = False
         self.idle_since = 0.0
         """When its last attempt ended, in milliseconds of `now_ms`."""
-        self.idle_before_ms: float | None = None
+        self.idle_ms_before_request: float | None = None
         """Idle time before the current request; None if that is the first one."""
         self.attempt: BackendAttempt | None = attempt
-        attempt.begin_on(self)
+        attempt.attach_connection(self)
         self._connect_timer = resources.loop.call_later(
             resources.connect_timeout_ms / MS_PER_S, self._on_connect_timeout
         )
@@ -87,7 +87,7 @@
         try:
             self.socket.getpeername()
         except OSError:
-            self.end(Outcome.CONNECT_ERROR)
+            self.close_and_end_attempt(Outcome.CONNECT_ERROR)
             return
         self._on_connected()
 
@@ -95,12 +95,12 @@
         self.resources.loop.remove_writer(self.fd)
         self._connect_timer.cancel()
         if self.socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
-            self.end(Outcome.CONNECT_ERROR)
+            self.close_and_end_attempt(Outcome.CONNECT_ERROR)
             return
         self.is_connected = True
         self.resources.loop.add_reader(self.fd, self._on_readable)
-        if self.attempt is not None and self.attempt.detect_disconnect is not None:
-            self.attempt.detect_disconnect()
+        if self.attempt is not None and self.attempt.detect_client_disconnect is not None:
+            self.attempt.detect_client_disconnect()
         if not self.is_closed:
             self._send_request()
 
@@ -108,9 +108,9 @@
 
     def start(self, attempt: BackendAttempt) -> None:
         """Send an attempt on this idle connection."""
-        self.idle_before_ms = now_ms() - self.idle_since
+        self.idle_ms_before_request = now_ms() - self.idle_since
         self.attempt = attempt
-        attempt.begin_on(self)
+        attempt.attach_connection(self)
         self._send_request()
 
     def _send_request(self) -> None:
@@ -123,10 +123,10 @@
             self._release()
             attempt.end(Outcome.NOT_STARTED if now >= attempt.deadline else Outcome.CONNECT_ERROR)
             return
-        self.writer.write(attempt.encode(max(1, int(attempt.deadline - now))))
+        self.writer.write(attempt.encode_request(max(1, int(attempt.deadline - now))))
 
     def _on_write_failed(self) -> None:
-        self.end(Outcome.CONNECT_ERROR)  # the last byte has not left
+        self.close_and_end_attempt(Outcome.CONNECT_ERROR)  # the last byte has not left
 
     # ---- receiving ----
 
@@ -138,29 +138,29 @@
         except OSError:
             count = 0
         if not count:
-            self._on_broken()
+            self._on_connection_lost()
         elif self.attempt is None:
             self._record_reply_failure("expected nothing on an idle connection, got bytes without a request")
             self.close()
         else:
             self._on_received(count)
 
-    def _on_broken(self) -> None:
+    def _on_connection_lost(self) -> None:
         """End the attempt: the backend has closed or reset the connection."""
         if self.attempt is not None and not self._reader.received:
-            self.resources.idle_loss.record(self.idle_before_ms, is_lost=True)
-        self.end(self.break_outcome())
+            self.resources.idle_loss.record(self.idle_ms_before_request, is_lost=True)
+        self.close_and_end_attempt(self.outcome_if_broken())
 
     def _on_received(self, count: int) -> None:
         """Take the first `count` bytes of the receive buffer."""
         resources = self.resources
         if not self._reader.received:
-            resources.idle_loss.record(self.idle_before_ms, is_lost=False)
+            resources.idle_loss.record(self.idle_ms_before_request, is_lost=False)
         try:
-            reply = self._reader.feed(resources.received_view[:count])
+            reply = self._reader.feed(resources.receive_buffer_view[:count])
         except GatewayError as error:
             self._record_reply_failure(str(error))
-            self.end(self.break_outcome())
+            self.close_and_end_attempt(self.outcome_if_broken())
             return
         if reply is not None:
             self._on_reply(reply)
@@ -169,14 +169,14 @@
         self._reader.discard()
         known_outcome = known_outcome_of(reply)
         outcome = known_outcome or Outcome.FAILED
-        is_sent = not self.writer.unsent
-        if not is_sent and outcome is not Outcome.QUEUE_FULL:
+        is_request_sent = not self.writer.unsent
+        if not is_request_sent and outcome is not Outcome.QUEUE_FULL:
             # No backend replies to an incomplete request: this belongs to another request, or is noise.
-            self.end(self.break_outcome())
+            self.close_and_end_attempt(self.outcome_if_broken())
             return
         attempt = self.attempt
         assert attempt is not None
-        if is_sent and known_outcome is not None and reply.ends_cleanly:
+        if is_request_sent and known_outcome is not None and reply.ends_cleanly:
             self._release()
         else:
             # Any bytes that follow would be taken for the reply to the next request.
@@ -196,7 +196,7 @@
         self.idle_since = now_ms()
         self.endpoint.release(self)
 
-    def break_outcome(self) -> Outcome:
+    def outcome_if_broken(self) -> Outcome:
         """Return the outcome if the connection broke now.
 
         A request whose last byte has not left cannot have run; any other may have.
@@ -205,7 +205,7 @@
             return Outcome.CONNECT_ERROR
         return Outcome.CONNECTION_RESET
 
-    def end(self, outcome: Outcome) -> None:
+    def close_and_end_attempt(self, outcome: Outcome) -> None:
         """Close the connection, then end the attempt on it with `outcome`.
 
         The close comes first: two attempts of a request must never be in flight together.
@@ -226,7 +226,7 @@
         self.resources.loop.remove_reader(self.fd)
         self.resources.loop.remove_writer(self.fd)
         self.socket.close()
-        self.endpoint.forget(self)
+        self.endpoint.remove_idle(self)
         self._on_closed(self)
 
     def is_alive(self) -> bool:
--- a/gateway/network/backends/endpoint.py
+++ b/gateway/network/backends/endpoint.py
@@ -32,7 +32,7 @@
         """Whether an idle connection is still open, and has received nothing."""
 
     def close(self) -> None:
-        """Close the connection, and call `PooledEndpoint.forget`."""
+        """Close the connection, and call `PooledEndpoint.remove_idle`."""
 
 
 @dataclass(eq=False, slots=True)
@@ -92,7 +92,7 @@
             connection.close()
         return None
 
-    def forget(self, connection: PooledConnection) -> None:
+    def remove_idle(self, connection: PooledConnection) -> None:
         """Remove a closed connection from the idle ones, if it was idle."""
         if connection in self.idle_connections:
             self.idle_connections.remove(connection)
--- a/gateway/network/backends/pool.py
+++ b/gateway/network/backends/pool.py
@@ -51,7 +51,7 @@
             max_buffered_bytes: bound on the incomplete replies of all connections together.
         """
         self.timers = timers
-        self.max_idle_ms = keepalive_ms * MAX_IDLE_SHARE
+        self.configured_max_idle_ms = keepalive_ms * MAX_IDLE_SHARE
         self.drain_grace_ms = drain_grace_ms
         self.max_connections = max_connections
         self.resources = ConnectionResources(loop, connect_timeout_ms, max_buffered_bytes)
@@ -69,7 +69,7 @@
 
     # ---- the endpoint list ----
 
-    def update(self, backend_id: int, address: Address, state: EndpointState) -> None:
+    def update_endpoint(self, backend_id: int, address: Address, state: EndpointState) -> None:
         """Apply an entry of the endpoint list; the address counts only if the backend is ready."""
         if state is not EndpointState.READY:
             self._drain(backend_id)
@@ -114,13 +114,13 @@
         if connection is None:
             attempt.end(outcome)
             return
-        if outcome is Outcome.TIMED_OUT and connection.break_outcome() is Outcome.CONNECT_ERROR:
+        if outcome is Outcome.TIMED_OUT and connection.outcome_if_broken() is Outcome.CONNECT_ERROR:
             outcome = Outcome.CONNECT_ERROR
-        connection.end(outcome)
+        connection.close_and_end_attempt(outcome)
 
     def _max_idle_ms(self) -> float:
         """Return the idle time from which on a connection is not reused."""
-        return min(self.max_idle_ms, self.resources.idle_loss.limit_ms)
+        return min(self.configured_max_idle_ms, self.resources.idle_loss.max_idle_ms)
 
     def _connect(self, endpoint: PooledEndpoint, attempt: BackendAttempt) -> None:
         if len(self.connections) >= self.max_connections:
@@ -157,13 +157,13 @@
 
     def _sweep_endpoints(self, now: float) -> None:
         max_idle_ms = self._max_idle_ms()
-        used = {connection.endpoint for connection in self.connections}
+        endpoints_in_use = {connection.endpoint for connection in self.connections}
         for backend_id, endpoint in list(self.endpoints.items()):
             endpoint.close_expired(now, max_idle_ms)
-            if not endpoint.accepts_new_work(now) or endpoint not in used:
+            if not endpoint.accepts_new_work(now) or endpoint not in endpoints_in_use:
                 del self.endpoints[backend_id]
 
     def close(self) -> None:
         """Close all connections; attempts on them end as if the connections broke."""
         for connection in list(self.connections):
-            connection.end(connection.break_outcome())
+            connection.close_and_end_attempt(connection.outcome_if_broken())
--- a/gateway/network/backends/request_writer.py
+++ b/gateway/network/backends/request_writer.py
@@ -14,18 +14,21 @@
     on whether the last byte of its request has left the process.
     """
 
-    __slots__ = ("_loop", "_on_broken", "_socket", "is_waiting", "unsent")
+    __slots__ = ("_loop", "_on_write_failed", "_socket", "is_waiting_for_writable", "unsent")
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, connected: socket.socket, on_broken: Callable[[], None]
+        self,
+        loop: asyncio.AbstractEventLoop,
+        connection_socket: socket.socket,
+        on_write_failed: Callable[[], None],
     ) -> None:
-        """`on_broken` is called if the connection breaks before the last byte has left."""
+        """`on_write_failed` is called if the connection breaks before the last byte has left."""
         self._loop = loop
-        self._socket = connected
-        self._on_broken = on_broken
+        self._socket = connection_socket
+        self._on_write_failed = on_write_failed
         self.unsent = memoryview(b"")
         """What has not left yet of the request."""
-        self.is_waiting = False
+        self.is_waiting_for_writable = False
         """Whether the rest waits until the socket takes more."""
 
     def write(self, request: bytes) -> None:
@@ -39,13 +42,13 @@
         except (BlockingIOError, InterruptedError):
             sent = 0
         except OSError:
-            self._on_broken()
+            self._on_write_failed()
             return
         self.unsent = self.unsent[sent:]
-        if bool(self.unsent) == self.is_waiting:
+        if bool(self.unsent) == self.is_waiting_for_writable:
             return
-        self.is_waiting = not self.is_waiting
-        if self.is_waiting:
+        self.is_waiting_for_writable = not self.is_waiting_for_writable
+        if self.is_waiting_for_writable:
             self._loop.add_writer(self._socket.fileno(), self._flush)
         else:
             self._loop.remove_writer(self._socket.fileno())
--- a/gateway/network/backends/resources.py
+++ b/gateway/network/backends/resources.py
@@ -39,7 +39,7 @@
         "idle_loss",
         "loop",
         "receive_buffer",
-        "received_view",
+        "receive_buffer_view",
         "reply_failures",
         "reply_memory",
     )
@@ -54,4 +54,4 @@
         self.reply_failures = FailureLog("reading replies of backends", "the connections were closed")
         self.receive_buffer = bytearray(RECEIVE_BUFFER_BYTES)
         """One for all connections: each copies at once what it has read."""
-        self.received_view = memoryview(self.receive_buffer)
+        self.receive_buffer_view = memoryview(self.receive_buffer)
--- a/gateway/network/dispatcher/attempts.py
+++ b/gateway/network/dispatcher/attempts.py
@@ -71,11 +71,11 @@
         number = request.take_attempt_number()
         attempt = BackendAttempt(
             backend_id=action.backend_id,
-            encode=request.client_request.encode,
+            encode_request=request.client_request.encode,
             deadline=request.deadline,
             on_end=partial(self._on_ended, StartedAttempt(request, number, now)),
             start_before=action.start_before,
-            detect_disconnect=request.pending_reply.detect_disconnect,
+            detect_client_disconnect=request.pending_reply.detect_disconnect,
         )
         self.in_flight[request_id, number] = attempt
         request.add_attempt(number, attempt)
--- a/gateway/network/dispatcher/endpoint_updates.py
+++ b/gateway/network/dispatcher/endpoint_updates.py
@@ -27,7 +27,7 @@
         if is_snapshot and is_first:
             self._snapshot_addresses = {}
         for listed in listed_endpoints:
-            self._backends.update(listed.endpoint.backend_id, listed.address, listed.endpoint.state)
+            self._backends.update_endpoint(listed.endpoint.backend_id, listed.address, listed.endpoint.state)
         if is_snapshot:
             self._stage_addresses(listed_endpoints)
         if is_snapshot and is_last:
--- a/tests/network/backends/test_backend_endings.py
+++ b/tests/network/backends/test_backend_endings.py
@@ -42,7 +42,7 @@
 
 
 @runs_in_loop
-async def test_attempt_that_crosses_a_close_may_have_run(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_attempt_sent_while_the_backend_closes_may_have_run(monkeypatch: pytest.MonkeyPatch) -> None:
     """The request is written while the backend's close is in transit, which nothing here can detect."""
     monkeypatch.setattr(BackendConnection, "is_alive", lambda _connection: True)
     async with open_manual_backend() as (server, pool):
--- a/tests/network/backends/test_backend_pool.py
+++ b/tests/network/backends/test_backend_pool.py
@@ -48,13 +48,13 @@
         return errno.ENETUNREACH
 
 
-def open_no_socket(*_: object) -> socket.socket:
+def fail_to_open_socket(*_: object) -> socket.socket:
     raise OSError(errno.EMFILE, os.strerror(errno.EMFILE))
 
 
 @pytest.mark.parametrize(
     ("open_socket", "reason"),
-    [(UnreachableSocket, "Network is unreachable"), (open_no_socket, "Too many open files")],
+    [(UnreachableSocket, "Network is unreachable"), (fail_to_open_socket, "Too many open files")],
 )
 @runs_in_loop
 async def test_connect_that_cannot_begin_is_logged_with_peer_and_reason(
@@ -106,7 +106,7 @@
     async with open_pool(server) as pool:
         attempt = RecordedAttempt(pool, body=b"x" * 32_000_000)
         writer = attempt.connection.writer
-        await wait_until(lambda: server.accepted and writer.is_waiting)
+        await wait_until(lambda: server.accepted and writer.is_waiting_for_writable)
 
         server.may_abort.set()
 
@@ -130,7 +130,7 @@
     async with open_pool(backend, drain_grace_ms=0) as pool:
         attempt = RecordedAttempt(pool)  # its connection is being established
 
-        pool.update(0, backend.address, EndpointState.DRAINING)
+        pool.update_endpoint(0, backend.address, EndpointState.DRAINING)
 
         assert await attempt.outcome() is Outcome.CONNECT_ERROR
         assert await RecordedAttempt(pool).outcome() is Outcome.CONNECT_ERROR
@@ -257,11 +257,11 @@
 ) -> None:
     monkeypatch.setattr(backend_pool, "SWEEP_INTERVAL_MS", 5.0)
     async with open_idle_connection() as (backend, pool, connection):
-        connection.idle_since -= pool.max_idle_ms - 20
+        connection.idle_since -= pool.configured_max_idle_ms - 20
 
         await wait_until(lambda: backend.ended)
         assert not pool.connections
-        assert pool.max_idle_ms < POOL_SETTINGS["keepalive_ms"] * 0.8
+        assert pool.configured_max_idle_ms < POOL_SETTINGS["keepalive_ms"] * 0.8
 
 
 # ---- bounds and the endpoint list ----
@@ -269,15 +269,15 @@
 
 @runs_in_loop
 async def test_connection_bound_closes_idle_connections_and_then_rejects() -> None:
-    idle = FakeBackend()
+    idle_backend = FakeBackend()
     unresponsive = scripted(None)
-    async with open_pool(idle, unresponsive, max_connections=1) as pool:
+    async with open_pool(idle_backend, unresponsive, max_connections=1) as pool:
         assert await RecordedAttempt(pool).outcome() is Outcome.OK
 
         in_flight = RecordedAttempt(pool, backend_id=1)
 
         await wait_until(lambda: unresponsive.received)
-        await wait_until(lambda: idle.ended)
+        await wait_until(lambda: idle_backend.ended)
         assert await RecordedAttempt(pool).outcome() is Outcome.CONNECT_ERROR
         assert not in_flight.ends
         assert len(pool.connections) == 1
@@ -292,7 +292,7 @@
         assert await RecordedAttempt(pool).outcome() is Outcome.OK
         await wait_for_reuse_delay(pool)
 
-        pool.update(0, new.address, EndpointState.READY)
+        pool.update_endpoint(0, new.address, EndpointState.READY)
 
         assert await RecordedAttempt(pool).outcome() is Outcome.OK
         assert len(old.received) == 1
@@ -307,7 +307,7 @@
     backend = FakeBackend()
     async with open_pool(backend) as pool:
         for backend_id in range(2_000):
-            pool.update(backend_id, backend.address, EndpointState.READY)
+            pool.update_endpoint(backend_id, backend.address, EndpointState.READY)
         assert not pool.endpoints, "of a listed backend only the address is kept"
         assert await RecordedAttempt(pool, 7).outcome() is Outcome.OK
         yield pool
--- a/tests/network/backends/test_backend_replies.py
+++ b/tests/network/backends/test_backend_replies.py
@@ -137,11 +137,11 @@
     """Many large values that are incomplete at once must not exhaust the memory."""
     value = b"x" * 400_000
     may_finish = asyncio.Event()
-    used: set[asyncio.StreamWriter] = set()
+    used_writers: set[asyncio.StreamWriter] = set()
 
     async def script(_command: list[bytes]) -> ScriptedReply:
-        (writer,) = backend.open - used
-        used.add(writer)
+        (writer,) = backend.open - used_writers
+        used_writers.add(writer)
         writer.write(b"*3\r\n$400000\r\n" + value[1:])
         await may_finish.wait()
         return b"x\r\n$-1\r\n$-1\r\n"
--- a/tests/network/backends/test_idle_loss.py
+++ b/tests/network/backends/test_idle_loss.py
@@ -15,11 +15,11 @@
 @runs_in_loop
 async def test_connections_are_not_reused_beyond_the_idle_time_at_which_requests_are_lost() -> None:
     """Backends may drop idle connections without notice long before the keep-alive time."""
-    used: set[asyncio.StreamWriter] = set()
+    used_writers: set[asyncio.StreamWriter] = set()
 
     async def reply_once_per_connection(_command: list[bytes]) -> ScriptedReply:
-        is_reused = bool(backend.open & used)
-        used.update(backend.open)
+        is_reused = bool(backend.open & used_writers)
+        used_writers.update(backend.open)
         return b"" if is_reused else VALUE_REPLY
 
     backend = FakeBackend(reply_once_per_connection)
@@ -32,11 +32,11 @@
 
         assert outcomes.count(Outcome.CONNECTION_RESET) <= 3
         assert outcomes[-5:] == [Outcome.OK] * 5
-        assert pool.resources.idle_loss.limit_ms == 200
+        assert pool.resources.idle_loss.max_idle_ms == 200
 
         for _ in range(60):
             pool.resources.idle_loss.decay()
-        assert pool.resources.idle_loss.limit_ms == math.inf, "longer idle times are allowed again"
+        assert pool.resources.idle_loss.max_idle_ms == math.inf, "longer idle times are allowed again"
 
 
 def test_losses_as_frequent_on_new_connections_do_not_limit_the_idle_time() -> None:
@@ -46,4 +46,4 @@
         for idle_ms in (None, 50.0, 300.0):
             estimator.record(idle_ms, is_lost=turn % 5 == 0)
 
-    assert estimator.limit_ms == math.inf
+    assert estimator.max_idle_ms == math.inf
--- a/tests/network/test_dispatcher.py
+++ b/tests/network/test_dispatcher.py
@@ -69,7 +69,7 @@
         self.dispatcher.on_request(self.parser.parse(list(command)), pending_reply)
         return pending_reply
 
-    def ended_attempts(self) -> list[AttemptEnded]:
+    def attempt_ended_events(self) -> list[AttemptEnded]:
         """The ends of attempts that were reported to the policy."""
         return [event for event in self.policy.events if isinstance(event, AttemptEnded)]
 
@@ -77,7 +77,7 @@
         """The same without backends and latencies."""
         return [
             AttemptEnd(event.request_id, event.attempt_number, event.outcome, event.request_finished)
-            for event in self.ended_attempts()
+            for event in self.attempt_ended_events()
         ]
 
 
@@ -87,7 +87,7 @@
     writers: list[asyncio.StreamWriter] = []
     server = await asyncio.start_server(lambda _reader, writer: writers.append(writer), LOCAL, 0)
     port = server.sockets[0].getsockname()[1]
-    harness.dispatcher.backends.update(BACKEND, Address(LOCAL, port), EndpointState.READY)
+    harness.dispatcher.backends.update_endpoint(BACKEND, Address(LOCAL, port), EndpointState.READY)
     yield writers
     server.close()
 
@@ -183,7 +183,7 @@
         pending_reply = harness.request()
         await wait_until(lambda: pending_reply.is_completed)
 
-    (ended,) = harness.ended_attempts()
+    (ended,) = harness.attempt_ended_events()
     assert ended.outcome is Outcome.TIMED_OUT
     assert not ended.request_finished
     assert ended.latency_ms >= 20
@@ -202,12 +202,12 @@
 
         writers[0].close()
         await wait_until(lambda: harness.policy.events_of(AttemptEnded))
-        has_attempts = bool(harness.dispatcher.attempts.in_flight)
+        had_attempts_in_flight = bool(harness.dispatcher.attempts.in_flight)
         third = harness.request()
 
     assert first.reply == BUSY_REPLY
     assert second.reply == ID_IN_USE_REPLY
-    assert not has_attempts
+    assert not had_attempts_in_flight
     assert third.reply == BUSY_REPLY
     assert len(harness.policy.events_of(RequestArrived)) == 2
 
--- a/tests/network/test_dispatcher_endings.py
+++ b/tests/network/test_dispatcher_endings.py
@@ -61,12 +61,12 @@
     counter_settings = {**SETTINGS["familyInfo"], "countWait": 5_000.0}
     harness.settings = {**SETTINGS, "groupSize": 9, "familyInfo": counter_settings}
     async with running_gateway(harness):
-        leaving = await harness.client()
+        disconnecting_client = await harness.client()
         other = await harness.client()
-        leaving.send(*request_command(b"waits", plan=b"basic", gateway_set_size=9))
+        disconnecting_client.send(*request_command(b"waits", plan=b"basic", gateway_set_size=9))
         await wait_until(lambda: harness.counter.received)
 
-        leaving.close()
+        disconnecting_client.close()
         other_customer = b"00000000b4d65522"  # its lease does not wait for the same response
         assert await harness.request(other, id=b"1", customer=other_customer) == b"value"
         counter_is_released.set()
@@ -81,12 +81,12 @@
     with full_accept_queue() as (listener, _):
         listener.setblocking(False)
         async with running_dispatcher() as (dispatcher, policy, clients, port):
-            dispatcher.backends.update(FIRST_BACKEND, listener.getsockname(), EndpointState.READY)
+            dispatcher.backends.update_endpoint(FIRST_BACKEND, listener.getsockname(), EndpointState.READY)
             policy.actions_by_event[RequestArrived] = [StartAttempt("waits", FIRST_BACKEND)]
-            leaving = connect_at_once(port, encode_command(*request_command(b"waits")))
+            disconnecting_client = connect_at_once(port, encode_command(*request_command(b"waits")))
             await wait_until(lambda: dispatcher.attempts.in_flight)
 
-            leaving.close()
+            disconnecting_client.close()
             await wait_until(lambda: not clients.connections)
 
             assert not dispatcher.backends.connections
@@ -109,12 +109,12 @@
     first = FakeBackend(break_connection_when_released)
     second = FakeBackend(break_connection_when_released)
     async with running_gateway(GatewayHarness(first, second)) as harness:
-        leaving = await harness.client()
+        disconnecting_client = await harness.client()
         other = await harness.client()
-        leaving.send(*request_command(b"waits"))
+        disconnecting_client.send(*request_command(b"waits"))
         await wait_until(lambda: first.received or second.received)
 
-        leaving.close()
+        disconnecting_client.close()
         assert await harness.request(other, id=b"1") == b"value"
         backend_is_released.set()
         for number in (b"2", b"3"):
@@ -168,12 +168,12 @@
                 return StartAttempt(request_id, SECOND_BACKEND)
 
 
-class Crossing:
+class DisconnectRace:
     """Clients that disconnect in the turn of the event loop in which the trigger comes for their requests."""
 
     def __init__(self, trigger: Trigger, client_count: int) -> None:
         self.trigger = trigger
-        self.ids = [b"%d" % number for number in range(client_count)]
+        self.request_ids = [b"%d" % number for number in range(client_count)]
         self.clients: list[socket.socket] = []
         self.delayed_connections: list[socket.socket] = []
         """Connections of the gateway on which a backend or the counter delays its response."""
@@ -186,7 +186,7 @@
         """Open the clients' requests, so that each waits for the trigger."""
         if self.trigger is Trigger.REQUEST:
             return
-        for id in self.ids:
+        for id in self.request_ids:
             command = encode_command(*request_command(id, remaining_ms=REMAINING_MS))
             self.clients.append(connect_at_once(port, command))
             await wait_until(lambda: len(dispatcher.requests.open) == len(self.clients))
@@ -199,18 +199,18 @@
 
     def all_counter_calls_are_written(self) -> bool:
         """Whether the call of each request has left the gateway."""
-        if len(self.counter.unreported_calls["all"]) != len(self.ids):
+        if len(self.counter.unreported_calls["all"]) != len(self.request_ids):
             return False
         return not any(
             channel.is_flush_scheduled or channel.unwritten or channel.connecting
             for channel in self.counter.channels
         )
 
-    def cross(self, dispatcher: Dispatcher, port: int) -> None:
+    def trigger_and_disconnect(self, dispatcher: Dispatcher, port: int) -> None:
         """Cause the trigger and the disconnects, while the event loop is stalled."""
         match self.trigger:
             case Trigger.REQUEST:
-                for id in self.ids:
+                for id in self.request_ids:
                     self.clients.append(connect_at_once(port, encode_command(*request_command(id))))
             case Trigger.ATTEMPT_ENDED:
                 for connection in self.delayed_connections:
@@ -218,7 +218,7 @@
             case Trigger.COUNTER_RESPONSE:
                 self.delayed_connections[0].sendall(b"ok 1\r\n")
             case Trigger.TIMER:
-                for id in self.ids:
+                for id in self.request_ids:
                     event = TimerFired(TimerToken(TimerKind.REQUEST, id.decode()))
                     dispatcher.timers.call_at(now_ms(), functools.partial(dispatcher.deliver, event))
         for client in self.clients:
@@ -234,7 +234,7 @@
         self.counter_server.close()
 
 
-async def reply_to_request(peer: RespPeer, id: bytes) -> object:
+async def send_and_receive(peer: RespPeer, id: bytes) -> object:
     """Send a request and return its reply."""
     peer.send(*request_command(id))
     return await peer.receive()
@@ -251,30 +251,32 @@
     A timer or a response triggers the first attempt or a hedged request, a failed attempt a retry.
     """
     monkeypatch.setattr("gateway.network.counter.connection.INACTIVITY_TIMEOUT_MS", math.inf)
-    crossing = Crossing(trigger, client_count)
+    race = DisconnectRace(trigger, client_count)
     second = FakeBackend()
     await second.start()
     policy = DelayingPolicy(trigger)
     async with running_dispatcher(
-        policy, counter=crossing.counter, max_connections=2 * client_count + 10
+        policy,
+        counter=race.counter,
+        max_connections=2 * client_count + 10,
     ) as (dispatcher, _, _, port):
-        dispatcher.backends.update(FIRST_BACKEND, crossing.backend.address, EndpointState.READY)
-        dispatcher.backends.update(SECOND_BACKEND, second.address, EndpointState.READY)
+        dispatcher.backends.update_endpoint(FIRST_BACKEND, race.backend.address, EndpointState.READY)
+        dispatcher.backends.update_endpoint(SECOND_BACKEND, second.address, EndpointState.READY)
         other = await connect(port)
         # This leaves an idle connection on which an attempt is written at once.
-        assert await reply_to_request(other, b"before") == b"value"
+        assert await send_and_receive(other, b"before") == b"value"
         await wait_for_reuse_delay(dispatcher.backends)
-        await crossing.send_requests(dispatcher, port)
+        await race.send_requests(dispatcher, port)
 
-        await call_between_reads(functools.partial(crossing.cross, dispatcher, port))
+        await call_between_reads(functools.partial(race.trigger_and_disconnect, dispatcher, port))
         await wait_until(lambda: len(policy.events_of(ClientDisconnected)) == client_count)
 
-        assert await reply_to_request(other, b"after") == b"value"
+        assert await send_and_receive(other, b"after") == b"value"
         assert [command[2] for command in second.received] == [b"before", b"after"]
         assert not dispatcher.requests.open
         assert not dispatcher.attempts.in_flight
         assert not dispatcher.requests.disconnected
-    crossing.close()
+    race.close()
     await second.stop()
 
 
@@ -293,9 +295,9 @@
     """The event loop finds both in one turn, the connection first, as it waited behind a full queue."""
     with full_accept_queue() as (listener, fillers):
         async with running_dispatcher() as (dispatcher, policy, clients, port):
-            dispatcher.backends.update(FIRST_BACKEND, listener.getsockname(), EndpointState.READY)
+            dispatcher.backends.update_endpoint(FIRST_BACKEND, listener.getsockname(), EndpointState.READY)
             policy.actions_by_event[RequestArrived] = [StartAttempt("waits", FIRST_BACKEND)]
-            leaving = connect_at_once(port, encode_command(*request_command(b"waits")))
+            disconnecting_client = connect_at_once(port, encode_command(*request_command(b"waits")))
             await wait_until(lambda: dispatcher.attempts.in_flight)
             (connection,) = dispatcher.backends.connections
             assert not connection.is_connected
@@ -304,7 +306,7 @@
                 filler.close()
             listener.settimeout(10.0)
             with accept_from(listener, connection.socket) as accepted:
-                leaving.close()
+                disconnecting_client.close()
                 time.sleep(STALL_S)
                 await wait_until(lambda: not clients.connections)
 
--- a/tests/support/backend_harness.py
+++ b/tests/support/backend_harness.py
@@ -38,7 +38,7 @@
     pool = BackendPool(loop, TimerQueue(loop), **{**POOL_SETTINGS, **settings})
     for number, server in enumerate(servers):
         await server.start()
-        pool.update(number, server.address, EndpointState.READY)
+        pool.update_endpoint(number, server.address, EndpointState.READY)
     try:
         yield pool
     finally:
@@ -59,7 +59,7 @@
     """Start a backend that is driven by the test, and a pool that lists it as backend 0."""
     server = ManualServer()
     async with open_pool() as pool:
-        pool.update(0, server.address, EndpointState.READY)
+        pool.update_endpoint(0, server.address, EndpointState.READY)
         yield ManualBackend(server, pool)
     server.close()
 
@@ -126,7 +126,7 @@
         self._ended = asyncio.Event()
         self.attempt = BackendAttempt(
             backend_id=backend_id,
-            encode=self._encode,
+            encode_request=self._encode_request,
             deadline=now_ms() + timeout_ms,
             on_end=self._on_end,
         )
@@ -139,7 +139,7 @@
         assert isinstance(connection, BackendConnection)
         return connection
 
-    def _encode(self, timeout_ms: int) -> bytes:
+    def _encode_request(self, timeout_ms: int) -> bytes:
         return encode_command(*request_command(remaining_ms=timeout_ms, body=self.body))
 
     def _on_end(self, _attempt: BackendAttempt, outcome: Outcome, value: bytes) -> None:
