--- a/gateway/network/backends/connecting.py
+++ b/gateway/network/backends/connecting.py
@@ -1,4 +1,4 @@
-"""Opening of TCP connections to backends."""
+"""Opens TCP connections to backends."""
 
 from __future__ import annotations
 
@@ -10,26 +10,26 @@
 from gateway.network.address import Address
 
 PENDING_CONNECT_RESULTS = (0, errno.EINPROGRESS)
-"""Results of a non-blocking connect that may still be established."""
+"""Results of a non-blocking connect that has succeeded or is in progress."""
 
 
 class BackendConnectError(GatewayError):
-    """A connection to a backend could not be begun: nothing was sent.
+    """A connect to a backend could not be started, so nothing was sent.
 
     Attributes:
-        reason: the reason that the system gave.
+        reason: what the operating system reported.
     """
 
     def __init__(self, address: Address, reason: str) -> None:
-        super().__init__(f"connect to the backend at {address}: {reason}")
+        super().__init__(f"cannot connect to backend {address}: {reason}")
         self.reason = reason
 
 
 def begin_connect(address: Address) -> socket.socket:
-    """Return a non-blocking socket that is connecting to a backend.
+    """Open a non-blocking socket, start to connect it to a backend and return it.
 
     Raises:
-        BackendConnectError: no socket could be opened, or the system rejected the connect at once.
+        BackendConnectError: no socket could be opened, or the operating system rejected the connect at once.
     """
     try:
         new_socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
--- a/gateway/network/backends/connection.py
+++ b/gateway/network/backends/connection.py
@@ -1,7 +1,8 @@
-"""Connections to backends, from the connect to the close, with one attempt on each at a time.
+"""Connections to backends, from connect to close.
 
-The sockets are driven directly rather than through transports: the end of a drain grace holds at the first
-byte of a request, and an attempt that is abandoned must be closed before the next one is sent.
+The sockets are used directly rather than through transports, for two reasons: no first byte of a request may
+be written after the end of a drain grace, and the connection of an abandoned attempt must be closed before
+the next attempt is sent.
 """
 
 from __future__ import annotations
@@ -25,9 +26,10 @@
 
 
 class BackendConnection:
-    """One connection to a backend, with one attempt on it at a time.
+    """A connection to a backend, which carries at most one attempt at a time.
 
-    Replies come in order and abandoning means closing: a second attempt would end with the first.
+    An attempt is abandoned by closing its connection, as replies come in the order of the requests. The
+    close would also end a second attempt on the connection.
     """
 
     __slots__ = (
@@ -54,10 +56,10 @@
         attempt: BackendAttempt,
         on_closed: Callable[[BackendConnection], None],
     ) -> None:
-        """Begin to connect; the attempt is sent once the connection is established.
+        """Start to connect; the attempt is sent once the connection is established.
 
         Raises:
-            BackendConnectError: the connect could not be begun; the attempt has not ended by it.
+            BackendConnectError: the connect could not be started; the caller has to end the attempt.
         """
         self.resources = resources
         self.endpoint = endpoint
@@ -70,9 +72,9 @@
         self.is_connected = False
         self.is_closed = False
         self.idle_since = 0.0
-        """When its last attempt ended, in milliseconds of `now_ms`."""
+        """When the last attempt ended, in milliseconds as returned by `now_ms`."""
         self.idle_ms_before_request: float | None = None
-        """Idle time before the current request; None if that is the first one."""
+        """Milliseconds that the connection was idle before the current request; None if that is the first."""
         self.attempt: BackendAttempt | None = attempt
         attempt.attach_connection(self)
         self._connect_timer = resources.loop.call_later(
@@ -83,7 +85,10 @@
     # ---- connecting ----
 
     def _on_connect_timeout(self) -> None:
-        """End the attempt, unless the connection was established in time and this process was delayed."""
+        """End the attempt, unless the connection is established.
+
+        It may have been established in time while this process was delayed.
+        """
         try:
             self.socket.getpeername()
         except OSError:
@@ -114,8 +119,9 @@
         self._send_request()
 
     def _send_request(self) -> None:
-        # Checked at the first byte: while the connection was established, the request may have expired, or
-        # the drain grace or the time in which the backend recognises a retry may be over.
+        # These times are checked just before the first byte is written. While the connection was being
+        # established, the deadline, the end of the drain grace or the end of the time in which the backend
+        # recognises a retry may have passed.
         attempt = self.attempt
         assert attempt is not None
         now = now_ms()
@@ -126,7 +132,7 @@
         self.writer.write(attempt.encode_request(max(1, int(attempt.deadline - now))))
 
     def _on_write_failed(self) -> None:
-        self.close_and_end_attempt(Outcome.CONNECT_ERROR)  # the last byte has not left
+        self.close_and_end_attempt(Outcome.CONNECT_ERROR)  # the request was not sent completely
 
     # ---- receiving ----
 
@@ -140,19 +146,19 @@
         if not count:
             self._on_connection_lost()
         elif self.attempt is None:
-            self._record_reply_failure("expected nothing on an idle connection, got bytes without a request")
+            self._record_reply_failure("expected no bytes on an idle connection, got some")
             self.close()
         else:
             self._on_received(count)
 
     def _on_connection_lost(self) -> None:
-        """End the attempt: the backend has closed or reset the connection."""
+        """End the attempt, as the backend has closed or reset the connection."""
         if self.attempt is not None and not self._reader.received:
             self.resources.idle_loss.record(self.idle_ms_before_request, is_lost=True)
         self.close_and_end_attempt(self.outcome_if_broken())
 
     def _on_received(self, count: int) -> None:
-        """Take the first `count` bytes of the receive buffer."""
+        """Handle `count` received bytes, which are at the start of the receive buffer."""
         resources = self.resources
         if not self._reader.received:
             resources.idle_loss.record(self.idle_ms_before_request, is_lost=False)
@@ -171,7 +177,8 @@
         outcome = known_outcome or Outcome.FAILED
         is_request_sent = not self.writer.unsent
         if not is_request_sent and outcome is not Outcome.QUEUE_FULL:
-            # No backend replies to an incomplete request: this belongs to another request, or is noise.
+            # A backend replies to an incomplete request only if its queue is full. Any other reply belongs to
+            # another request, or is no reply at all.
             self.close_and_end_attempt(self.outcome_if_broken())
             return
         attempt = self.attempt
@@ -179,27 +186,29 @@
         if is_request_sent and known_outcome is not None and reply.ends_cleanly:
             self._release()
         else:
-            # Any bytes that follow would be taken for the reply to the next request.
+            # If the connection were reused, bytes that follow would be taken for the next request's reply.
             self.attempt = None
-            self._record_reply_failure("expected one reply of the protocol, got more or an unknown error")
+            self._record_reply_failure(
+                "expected a single valid reply, got an unknown error, an early reply or invalid bytes"
+            )
             self.close()
         attempt.end(outcome, reply.value or b"")
 
     def _record_reply_failure(self, reason: str) -> None:
         self.resources.reply_failures.record(self.address, reason)
 
-    # ---- the end ----
+    # ---- closing ----
 
     def _release(self) -> None:
-        """Become idle, or close if the connection will not be reused."""
+        """Return the connection to its endpoint, which keeps it for reuse or closes it."""
         self.attempt = None
         self.idle_since = now_ms()
         self.endpoint.release(self)
 
     def outcome_if_broken(self) -> Outcome:
-        """Return the outcome if the connection broke now.
+        """Return the outcome that the attempt would have if the connection broke now.
 
-        A request whose last byte has not left cannot have run; any other may have.
+        A request that was not sent completely cannot have run; any other may have.
         """
         if not self.is_connected or self.writer.unsent:
             return Outcome.CONNECT_ERROR
@@ -208,7 +217,8 @@
     def close_and_end_attempt(self, outcome: Outcome) -> None:
         """Close the connection, then end the attempt on it with `outcome`.
 
-        The close comes first: two attempts of a request must never be in flight together.
+        The connection is closed first: the next attempt may be sent as soon as this one ends, and two
+        attempts of a request must never be in flight together.
         """
         attempt = self.attempt
         self.attempt = None
@@ -217,7 +227,7 @@
             attempt.end(outcome)
 
     def close(self) -> None:
-        """Close the connection without ending its attempt; further calls change nothing."""
+        """Close the connection without ending its attempt; further calls do nothing."""
         if self.is_closed:
             return
         self.is_closed = True
@@ -230,11 +240,11 @@
         self._on_closed(self)
 
     def is_alive(self) -> bool:
-        """Whether an idle connection is still open and has received nothing, as far as this machine knows."""
+        """Return whether an idle connection is open and has no unread bytes, as far as the kernel knows."""
         try:
             self.socket.recv(1, socket.MSG_PEEK)
         except (BlockingIOError, InterruptedError):
             return True
         except OSError:
             return False
-        return False  # the peer has closed it, or has sent bytes without a request
+        return False  # the backend has closed the connection, or has sent bytes without a request
--- a/gateway/network/backends/endpoint.py
+++ b/gateway/network/backends/endpoint.py
@@ -11,39 +11,42 @@
 from .attempt import BackendAttempt
 
 REUSE_DELAY_MS = 5.0
-"""Milliseconds before a connection is reused: unsolicited bytes after its last reply have arrived by then."""
+"""Least milliseconds between a reply and the reuse of its connection: unsolicited bytes arrive by then."""
 
 
 class PooledConnection(Protocol):
-    """A connection to a backend, as far as its endpoint and the pool need it."""
+    """The part of a connection's interface that its endpoint and the pool use."""
 
     @property
     def address(self) -> Address:
-        """The address that it is connected to."""
+        """The address to which the connection was opened."""
 
     @property
     def idle_since(self) -> float:
-        """When its last attempt ended, in milliseconds of `now_ms`."""
+        """When the last attempt ended, in milliseconds as returned by `now_ms`."""
 
     def start(self, attempt: BackendAttempt) -> None:
         """Send an attempt on this idle connection."""
 
     def is_alive(self) -> bool:
-        """Whether an idle connection is still open, and has received nothing."""
+        """Return whether an idle connection is open and has no unread bytes."""
 
     def close(self) -> None:
-        """Close the connection, and call `PooledEndpoint.remove_idle`."""
+        """Close the connection and call `PooledEndpoint.remove_idle`."""
 
 
 @dataclass(eq=False, slots=True)
 class PooledEndpoint:
-    """A backend's endpoint in the pool; times are milliseconds of `now_ms`."""
+    """A backend's endpoint in the pool.
+
+    Times are in milliseconds, as returned by `now_ms`.
+    """
 
     address: Address
     idle_connections: list[PooledConnection] = field(default_factory=list, init=False)
-    """The most recently used one is the last."""
+    """Connections without an attempt, in the order of their last use."""
     no_new_work_after: float = field(default=math.inf, init=False)
-    """When the grace for new work ends; infinite unless the backend is draining."""
+    """The end of the drain grace, after which no attempt is sent; infinite unless the backend is draining."""
 
     # ---- the endpoint list ----
 
@@ -53,25 +56,25 @@
         return self.no_new_work_after < math.inf
 
     def accepts_new_work(self, now: float) -> bool:
-        """Whether the first byte of an attempt may be written now."""
+        """Return whether the first byte of a request may be written at `now`."""
         return now < self.no_new_work_after
 
     def set_ready(self, address: Address) -> None:
-        """Take new work at this address; idle connections to another address are closed."""
+        """Accept new work at this address, and close idle connections to another address."""
         if address != self.address:
             self.close_idle()
             self.address = address
         self.no_new_work_after = math.inf
 
     def begin_drain(self, grace_end: float) -> None:
-        """Take new work until `grace_end` at the latest, and close the idle connections."""
+        """Accept new work until `grace_end` at the latest, and close the idle connections."""
         self.no_new_work_after = min(self.no_new_work_after, grace_end)
         self.close_idle()
 
     # ---- idle connections ----
 
     def release(self, connection: PooledConnection) -> None:
-        """Keep a connection without an attempt for reuse, or close it if it will not be reused."""
+        """Keep a connection without an attempt for reuse; close it if the backend drains or has moved."""
         if self.is_draining or connection.address != self.address:
             connection.close()
             return
@@ -80,7 +83,7 @@
     def take_idle(self, now: float, max_idle_ms: float) -> PooledConnection | None:
         """Remove and return the most recently used connection that may be reused; None if there is none.
 
-        Connections found on the way that are dead, or were idle for `max_idle_ms`, are closed.
+        Connections found by the search that are dead, or were idle for `max_idle_ms`, are closed.
         """
         for connection in self.idle_connections[::-1]:
             idle_ms = now - connection.idle_since
@@ -93,7 +96,7 @@
         return None
 
     def remove_idle(self, connection: PooledConnection) -> None:
-        """Remove a closed connection from the idle ones, if it was idle."""
+        """Remove a closed connection from the idle connections, if it is one of them."""
         if connection in self.idle_connections:
             self.idle_connections.remove(connection)
 
@@ -103,7 +106,7 @@
             connection.close()
 
     def close_expired(self, now: float, max_idle_ms: float) -> None:
-        """Close the connections that were idle for `max_idle_ms`."""
+        """Close the connections that have been idle for `max_idle_ms` or longer."""
         for connection in list(self.idle_connections):
             if now - connection.idle_since < max_idle_ms:
                 break
--- a/gateway/network/backends/failure_log.py
+++ b/gateway/network/backends/failure_log.py
@@ -1,4 +1,4 @@
-"""Failures of one operation at many backends, logged together."""
+"""Log of an operation's failures at many backends, with one line for many failures."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 log = logging.getLogger(__name__)
 
 MAX_LOGGED_FAILURES = 5
-"""Peers and reasons that a log line names, the most frequent first."""
+"""Most pairs of peer and reason that one log line names, beginning with the most frequent."""
 
 
 class PeerFailure(NamedTuple):
-    """A failure of an operation at one peer."""
+    """A peer at which an operation failed, and the reason."""
 
     peer: Address
     reason: str
@@ -27,7 +27,7 @@
     __slots__ = ("_consequence", "_counts", "_operation")
 
     def __init__(self, operation: str, consequence: str) -> None:
-        """`operation` and `consequence` are the line's wording of what failed, and of what came of it."""
+        """`operation` says in the log line what failed, and `consequence` what that led to."""
         self._operation = operation
         self._consequence = consequence
         self._counts: Counter[PeerFailure] = Counter()
--- a/gateway/network/backends/idle_loss.py
+++ b/gateway/network/backends/idle_loss.py
@@ -6,27 +6,27 @@
 import math
 
 IDLE_TIME_BOUNDS_MS = (100.0, 200.0, 400.0, 800.0, 1_600.0, 3_200.0, math.inf)
-"""Upper bounds of the idle times that are counted together, in milliseconds."""
+"""Upper bounds, in milliseconds, of the ranges of idle time for which requests are counted separately."""
 
 NEW_CONNECTION_INDEX = -1
-"""Index of the counts of requests on new connections, after those of `IDLE_TIME_BOUNDS_MS`."""
+"""Index of the counts for new connections, which come after those of the ranges of idle time."""
 
 PRIOR_ATTEMPTS = 5.0
-"""Successful requests assumed for each idle time: a first loss must not set the limit."""
+"""Successful requests assumed for each range of idle time, so that a first loss does not set the limit."""
 
 MAX_EXCESS_LOSS_RATE = 0.15
-"""Fraction of requests lost, in excess of that on new connections, above which an idle time is avoided."""
+"""Largest tolerated loss rate, as a fraction of requests in excess of the loss rate on new connections."""
 
 DECAY_FACTOR = 0.9
-"""Factor on each count at a decay, one a second: as losses fade, longer idle times are allowed again."""
+"""Factor by which each count decays once a second; as losses fade, longer idle times are allowed again."""
 
 
 class IdleLossEstimator:
-    """Learns from lost requests how long connections may be idle before they are reused.
+    """Learns from lost requests how long a connection may be idle and still be reused.
 
-    Backends keep idle connections for the keep-alive time of the settings, but some of them, or a middlebox
-    in between, drop them earlier and without notice. The limit is the least idle time from which on clearly
-    more requests are lost than on new connections.
+    Backends keep idle connections open for the keep-alive time of the settings, but some of them, or a
+    middlebox in between, drop them earlier and without notice. The limit is the start of the first range of
+    idle times in which clearly more requests are lost than on new connections.
     """
 
     __slots__ = ("_attempts", "_losses", "max_idle_ms")
@@ -35,10 +35,13 @@
         self._attempts = [0.0] * (len(IDLE_TIME_BOUNDS_MS) + 1)
         self._losses = [0.0] * (len(IDLE_TIME_BOUNDS_MS) + 1)
         self.max_idle_ms = IDLE_TIME_BOUNDS_MS[-1]
-        """Idle time, in milliseconds, from which on a connection is not reused; infinite without a limit."""
+        """Idle time in milliseconds from which on a connection is not reused; infinite without a limit."""
 
     def record(self, idle_ms: float | None, *, is_lost: bool) -> None:
-        """Count a request whose connection was idle for `idle_ms` before it, or was new if that is None."""
+        """Count a request on a connection that had been idle for `idle_ms`, or was new if that is None.
+
+        A request is lost if its connection breaks before any byte of the reply has arrived.
+        """
         if idle_ms is None:
             index = NEW_CONNECTION_INDEX
         else:
@@ -49,7 +52,7 @@
             self._update_max_idle_ms()
 
     def decay(self) -> None:
-        """Decay the counts; to be called once a second."""
+        """Multiply all counts by `DECAY_FACTOR`; to be called once a second."""
         self._attempts = [DECAY_FACTOR * count for count in self._attempts]
         self._losses = [DECAY_FACTOR * count for count in self._losses]
         self._update_max_idle_ms()
--- a/gateway/network/backends/pool.py
+++ b/gateway/network/backends/pool.py
@@ -1,4 +1,4 @@
-"""Pool of connections to the listed backends: starts and abandons attempts, bounds and sweeps connections."""
+"""Pool of connections to the listed backends, which sends and abandons attempts."""
 
 from __future__ import annotations
 
@@ -19,16 +19,19 @@
 """Fraction of the keep-alive time after which an idle connection is closed, before the backend may do so."""
 
 SWEEP_INTERVAL_MS = 1_000.0
-"""Milliseconds between two sweeps, each of which decays the idle-loss estimate once."""
+"""Milliseconds between two sweeps, each of which decays the counts of lost requests once."""
 
 DRAIN_GRACE_MARGIN_MS = 50.0
-"""Milliseconds before the end of a drain grace from which on no new work is sent, so that none is late."""
+"""Milliseconds before the end of a drain grace at which the pool stops sending, so that nothing is late."""
 
 
 class BackendPool:
-    """Connections to backends, by endpoint. It takes no decision: it sends an attempt, or ends it at once."""
+    """Connections to backends, grouped by endpoint.
 
-    def __init__(  # noqa: PLR0913 - each is a setting of the deployment, named by its keyword
+    The pool makes no decisions: it sends an attempt to its backend, or ends it at once.
+    """
+
+    def __init__(  # noqa: PLR0913 - settings of the deployment, passed by keyword
         self,
         loop: asyncio.AbstractEventLoop,
         timers: TimerQueue,
@@ -39,16 +42,16 @@
         max_connections: int,
         max_buffered_bytes: int,
     ) -> None:
-        """Create an empty pool, which sweeps itself until the loop ends.
+        """Create an empty pool, which sweeps its connections until the loop ends.
 
         Args:
             loop: the event loop that drives the sockets.
-            timers: the queue of the sweep's timer.
+            timers: the queue for the timer of the sweeps.
             connect_timeout_ms: how long a connection may take to be established.
             keepalive_ms: how long backends keep idle connections open.
-            drain_grace_ms: how long a backend takes new work after it was reported as draining.
-            max_connections: bound on the connections to all backends together.
-            max_buffered_bytes: bound on the incomplete replies of all connections together.
+            drain_grace_ms: how long a backend accepts new work after it was reported as draining.
+            max_connections: most connections to all backends together.
+            max_buffered_bytes: most bytes of incomplete replies, for all connections together.
         """
         self.timers = timers
         self.configured_max_idle_ms = keepalive_ms * MAX_IDLE_SHARE
@@ -56,21 +59,21 @@
         self.max_connections = max_connections
         self.resources = ConnectionResources(loop, connect_timeout_ms, max_buffered_bytes)
         self.connections: set[BackendConnection] = set()
-        """All that are not closed."""
-        # The garbage collector traverses tuples, but not strings: an `Address` for each backend would prolong
-        # its runs.
+        """All connections that are not closed."""
+        # Strings, because the garbage collector traverses tuples but not strings: an `Address` for each
+        # backend would make its runs longer.
         self.addresses: dict[int, str] = {}
-        """Addresses of all listed backends, as "host:port"."""
+        """Addresses of the ready backends by id, as "host:port"."""
         self.endpoints: dict[int, PooledEndpoint] = {}
-        """Endpoints of backends with connections, listed or draining."""
+        """Endpoints by backend id, of ready and draining backends with connections."""
         self.connect_failures = FailureLog("connecting to backends", "the attempts never ran")
-        """Connections that could not be begun since the last sweep."""
+        """Connects that could not be started since the last sweep."""
         self.timers.call_at(now_ms() + SWEEP_INTERVAL_MS, self.sweep)
 
     # ---- the endpoint list ----
 
     def update_endpoint(self, backend_id: int, address: Address, state: EndpointState) -> None:
-        """Apply an entry of the endpoint list; the address counts only if the backend is ready."""
+        """Apply an entry of the endpoint list; `address` is used only if the backend is ready."""
         if state is not EndpointState.READY:
             self._drain(backend_id)
             return
@@ -80,7 +83,7 @@
             endpoint.set_ready(address)
 
     def replace_endpoints(self, addresses: dict[int, str]) -> None:
-        """Apply a complete list, as the addresses of ready backends; backends that it omits drain."""
+        """Apply a complete list, given as the addresses of ready backends; backends that it omits drain."""
         for backend_id in self.endpoints.keys() - addresses.keys():
             self._drain(backend_id)
         self.addresses = addresses
@@ -93,7 +96,7 @@
     # ---- attempts ----
 
     def start(self, attempt: BackendAttempt) -> None:
-        """Send an attempt on an idle connection or a new one, or end it as a connect error."""
+        """Send an attempt on an idle or new connection; end it as a connect error if that is impossible."""
         endpoint = self.endpoints.get(attempt.backend_id)
         if endpoint is None and (address := self.addresses.get(attempt.backend_id)):
             endpoint = PooledEndpoint(parse_address(address))
@@ -109,7 +112,10 @@
             self._connect(endpoint, attempt)
 
     def abandon(self, attempt: BackendAttempt, outcome: Outcome) -> None:
-        """End an attempt with `outcome`; one that times out before its last byte left never ran."""
+        """Close the connection of an attempt and end the attempt with `outcome`.
+
+        A time-out before the request was sent completely becomes a connect error, as the request never ran.
+        """
         connection = attempt.connection
         if connection is None:
             attempt.end(outcome)
@@ -119,14 +125,14 @@
         connection.close_and_end_attempt(outcome)
 
     def _max_idle_ms(self) -> float:
-        """Return the idle time from which on a connection is not reused."""
+        """Return the idle time, in milliseconds, from which on a connection is not reused."""
         return min(self.configured_max_idle_ms, self.resources.idle_loss.max_idle_ms)
 
     def _connect(self, endpoint: PooledEndpoint, attempt: BackendAttempt) -> None:
         if len(self.connections) >= self.max_connections:
             self._close_longest_idle()
         if len(self.connections) >= self.max_connections:
-            # Load shedding: without the bound, the process would run out of descriptors.
+            # The attempt is shed: without the bound, the process would run out of file descriptors.
             attempt.end(Outcome.CONNECT_ERROR)
             return
         try:
@@ -147,7 +153,7 @@
             min(longest_idle, key=lambda connection: connection.idle_since).close()
 
     def sweep(self) -> None:
-        """Close connections idle for too long, forget unused endpoints and log what failed; once a second."""
+        """Close connections idle for too long, remove unused endpoints and log failures; once a second."""
         now = now_ms()
         self.resources.idle_loss.decay()
         self._sweep_endpoints(now)
@@ -164,6 +170,6 @@
                 del self.endpoints[backend_id]
 
     def close(self) -> None:
-        """Close all connections; attempts on them end as if the connections broke."""
+        """Close all connections; attempts on them end as if their connections had broken."""
         for connection in list(self.connections):
             connection.close_and_end_attempt(connection.outcome_if_broken())
--- a/gateway/network/backends/reply_reader.py
+++ b/gateway/network/backends/reply_reader.py
@@ -1,4 +1,4 @@
-"""Reading of backends' replies: what has arrived of one, and the outcome that it stands for."""
+"""Reads replies of backends and tells which outcome a reply stands for."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 from .resources import ReplyMemory
 
 KNOWN_ERROR = re.compile(rb"(BUSY|ERR failed)(?: [!-~]{1,512})?")
-"""Error lines of the protocol, which leave their connection usable; a load report may follow."""
+"""Error lines that the protocol defines, which leave their connection usable; a load report may follow."""
 
 OVERLOADED_ERROR = b"BUSY"
-"""The backend's queue is full; the request did not run."""
+"""The error of a backend whose queue is full; the request did not run."""
 
 
 class ReplyMemoryError(GatewayError):
-    """The incomplete replies of all connections exceed the memory for them."""
+    """The incomplete replies of all connections together exceed the memory for them."""
 
 
 class ReplyReader:
-    """Buffers what has arrived of a reply, within the memory for the replies of all connections."""
+    """Buffers an incomplete reply, within the memory for the incomplete replies of all connections."""
 
     __slots__ = ("_memory", "received")
 
     def __init__(self, memory: ReplyMemory) -> None:
         self._memory = memory
         self.received = bytearray()
-        """The part of a reply that has arrived; only this class changes it."""
+        """The bytes received of the current reply; only this class changes them."""
 
     def feed(self, data: memoryview) -> Reply | None:
-        """Append what has arrived, and return the reply once it is complete.
+        """Append received bytes; return the reply if it is complete, otherwise None.
 
         Raises:
             ProtocolError: the data cannot become a reply.
@@ -40,17 +40,19 @@
         """
         self.received += data
         if not self._memory.reserve(len(data)):
-            raise ReplyMemoryError("expected a complete reply, got too many incomplete ones for their memory")
+            raise ReplyMemoryError(
+                "expected a complete reply, got more incomplete replies than fit into their memory"
+            )
         return parse_reply(self.received)
 
     def discard(self) -> None:
-        """Drop what has arrived, and release its memory."""
+        """Discard the received bytes, and release their memory."""
         self._memory.release(len(self.received))
         self.received = bytearray()
 
 
 def known_outcome_of(reply: Reply) -> Outcome | None:
-    """Return the outcome that a reply stands for, None if it is an error that the protocol does not name."""
+    """Return the outcome that a reply stands for; None for an error that the protocol does not define."""
     if reply.value is not None:
         return Outcome.OK
     known_error = KNOWN_ERROR.fullmatch(reply.error)
--- a/gateway/network/backends/request_writer.py
+++ b/gateway/network/backends/request_writer.py
@@ -1,4 +1,4 @@
-"""Writing of requests to the non-blocking socket of a backend's connection."""
+"""Writes requests to the non-blocking socket of a connection to a backend."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 class RequestWriter:
-    """Writes one request at a time, and what the socket does not take of it once it takes more.
+    """Writes one request at a time; bytes that the socket does not accept at once are written later.
 
-    The socket is driven directly rather than through a transport, because the outcome of an attempt depends
+    The socket is used directly rather than through a transport, because the outcome of an attempt depends
     on whether the last byte of its request has left the process.
     """
 
@@ -22,17 +22,17 @@
         connection_socket: socket.socket,
         on_write_failed: Callable[[], None],
     ) -> None:
-        """`on_write_failed` is called if the connection breaks before the last byte has left."""
+        """`on_write_failed` is called if the connection breaks before the request is sent completely."""
         self._loop = loop
         self._socket = connection_socket
         self._on_write_failed = on_write_failed
         self.unsent = memoryview(b"")
-        """What has not left yet of the request."""
+        """The part of the request that has not been sent yet."""
         self.is_waiting_for_writable = False
-        """Whether the rest waits until the socket takes more."""
+        """Whether the rest of the request waits until the socket is writable."""
 
     def write(self, request: bytes) -> None:
-        """Write a request, as far as the socket takes it at once."""
+        """Write a request: what the socket accepts now, and the rest when it is writable again."""
         self.unsent = memoryview(request)
         self._flush()
 
--- a/gateway/network/backends/resources.py
+++ b/gateway/network/backends/resources.py
@@ -1,4 +1,4 @@
-"""What the connections of one pool share: the event loop, buffers, bounds and statistics."""
+"""Event loop, buffers, bounds and statistics that the connections of one pool share."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
         """Bytes of incomplete replies, of all connections together."""
 
     def reserve(self, count: int) -> bool:
-        """Reserve `count` bytes; whether the limit holds. They have to be released either way."""
+        """Reserve `count` bytes, which have to be released in any case; return whether the limit is kept."""
         self.reserved_bytes += count
         return self.reserved_bytes <= self._limit_bytes
 
     def release(self, count: int) -> None:
-        """Release bytes that were reserved."""
+        """Release `count` reserved bytes."""
         self.reserved_bytes -= count
 
 
 class ConnectionResources:
-    """What the connections of one pool share."""
+    """Resources that the connections of one pool share."""
 
     __slots__ = (
         "connect_timeout_ms",
@@ -53,5 +53,5 @@
         self.idle_loss = IdleLossEstimator()
         self.reply_failures = FailureLog("reading replies of backends", "the connections were closed")
         self.receive_buffer = bytearray(RECEIVE_BUFFER_BYTES)
-        """One for all connections: each copies at once what it has read."""
+        """One buffer for all connections: each copies what it has read before another one reads."""
         self.receive_buffer_view = memoryview(self.receive_buffer)
--- a/gateway/network/dispatcher/__init__.py
+++ b/gateway/network/dispatcher/__init__.py
@@ -1,7 +1,7 @@
-"""Where the peers meet: delivers events to the policy and carries out its actions.
+"""Delivers network events to the policy, and carries out the policy's actions.
 
-What takes a request or an attempt owns it until it is settled, and one path settles it. A request belongs to
-`RequestTable.open` until it has its reply or its client has disconnected; an attempt belongs to
+Each request and each attempt has one owner until it has ended, and a single code path ends it. A request is
+in `RequestTable.open` until it has its reply or its client has disconnected; an attempt is in
 `AttemptRunner.in_flight` until it has ended.
 """
 
--- a/gateway/network/dispatcher/attempts.py
+++ b/gateway/network/dispatcher/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts of requests at backends: starts, cancels and settles them."""
+"""Starts and cancels attempts of requests at backends, and reports how they end."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 @dataclass(eq=False, slots=True)
 class StartedAttempt:
-    """What the report of an attempt's end needs to know of its start."""
+    """An attempt's request, number and start time, kept for the report of its end."""
 
     request: OpenRequest
     number: int
     started_at: float
-    """In milliseconds of `now_ms`."""
+    """In milliseconds, as returned by `now_ms`."""
 
 
 class AttemptRunner:
@@ -45,20 +45,21 @@
         self._deliver = deliver
         self._max_attempts = max_attempts
         self.in_flight: dict[tuple[str, int], BackendAttempt] = {}
-        """By request id and attempt number, also those of requests that have their reply."""
+        """Attempts by request id and attempt number, including those whose request has its reply."""
 
     def has_in_flight(self, request_id: str) -> bool:
-        """Whether an attempt of a request with this id has not ended.
+        """Return whether an attempt of a request with this id has not ended.
 
-        An attempt may outlive its request's reply. The policy knows it by the request's id, which no other
-        request may take before.
+        An attempt may still be in flight after its request's reply. The policy identifies it by the request's
+        id, so no other request may use that id until the attempt has ended.
         """
         return any((request_id, number) in self.in_flight for number in range(self._max_attempts))
 
     def start(self, action: StartAttempt) -> None:
         """Start an attempt, or report that it was not started.
 
-        No attempt may start for a client that has disconnected, even if its disconnect has not been read.
+        No attempt may start for a client that has disconnected, even if the disconnect has not been read from
+        its socket yet.
         """
         request_id = action.request_id
         if open_request := self._requests.open.get(request_id):
@@ -85,7 +86,7 @@
         self._backends.start(attempt)
 
     def _report_not_started(self, action: StartAttempt, open_request: OpenRequest | None) -> None:
-        """Report an attempt that was not started, by the number that the policy gave it."""
+        """Report that an attempt was not started, under the number that the policy has given to it."""
         number = 0
         if open_request is not None:
             number = open_request.attempts_started
@@ -125,6 +126,7 @@
         if is_finished:
             request.cancel_deadline_timer()
         latency_ms = now_ms() - started.started_at
-        self._deliver(  # by position: keywords made the event take a third longer to create, at each attempt
+        # Positional arguments: with keywords, the event took a third longer to create, at each attempt.
+        self._deliver(
             AttemptEnded(request_id, started.number, attempt.backend_id, outcome, latency_ms, is_finished)
         )
--- a/gateway/network/dispatcher/dispatcher.py
+++ b/gateway/network/dispatcher/dispatcher.py
@@ -1,6 +1,6 @@
-"""The dispatcher: turns what happens on the network into events, and actions into calls of its parts.
+"""Turns what happens on the network into events for the policy, and carries out the policy's actions.
 
-It decides nothing itself.
+The dispatcher makes no decisions of its own.
 """
 
 from __future__ import annotations
@@ -47,13 +47,13 @@
 
 
 class Dispatcher:
-    """Owns the policy, and is the only one to call it.
+    """Owns the policy, and is its only caller.
 
-    Events are handled one after another: an action that ends at once delivers its event after the other
-    actions that the policy returned with it.
+    Events are handled one after another. If an action completes at once and so causes an event, that event is
+    handled after the other actions that the policy returned with the action.
     """
 
-    def __init__(  # noqa: PLR0913 - it joins all parts of the program
+    def __init__(  # noqa: PLR0913 - it connects all parts of the program
         self,
         settings: Settings,
         *,
@@ -67,10 +67,10 @@
 
         Args:
             settings: the settings of the policy.
-            seed: of the policy's random choices.
-            timers: the queue of deadlines, attempt time-outs and the policy's timers.
+            seed: the seed of the policy's random choices.
+            timers: the queue for deadlines, attempt time-outs and the policy's timers.
             backends: the pool that sends attempts.
-            counter: the client of the counter; without one, its calls fail as never made.
+            counter: the client of the counter; without one, each counter call fails as a connect error.
             max_open_requests: bound on the requests without a reply; more are rejected.
         """
         self.policy = GatewayPolicy(settings, seed)
@@ -90,7 +90,7 @@
     # ---- events ----
 
     def deliver(self, event: Event) -> None:
-        """Hand an event to the policy and carry out its actions, after the events that came before it."""
+        """Hand an event to the policy after all earlier events, and carry out the actions that it returns."""
         self._pending_events.append(event)
         if self._is_handling:
             return
@@ -106,7 +106,7 @@
             for action in self.policy.handle(now_ms(), event):
                 self._carry_out(action)
         except Exception:
-            # A fault at one event must not keep the others from being handled.
+            # A fault in the handling of one event must not prevent the handling of others.
             log.exception(
                 "policy event %s could not be handled; its remaining actions are dropped",
                 type(event).__name__,
@@ -116,7 +116,7 @@
             self.requests.forget_disconnected(event.request_id)
 
     def _fail_request_of(self, event: Event) -> None:
-        """Fail the request of an event that the policy could not handle: it may have run."""
+        """Fail the request of an event that could not be handled, as the request may have run."""
         if isinstance(event, RequestArrived | AttemptEnded):
             self.requests.reply(event.request_id, FAILED_REPLY)
 
@@ -127,11 +127,11 @@
         is_first: bool = True,
         is_last: bool = True,
     ) -> None:
-        """Take a delta, or one part of a snapshot, into the backend pool and the policy."""
+        """Apply a delta, or one part of a snapshot, to the backend pool and the policy."""
         self._endpoint_updates.apply(kind, listed_endpoints, is_first=is_first, is_last=is_last)
 
     def on_request(self, client_request: ClientRequest, pending_reply: PendingReply) -> None:
-        """Deliver a client's request, or reject it if its id is in use or too many requests are open."""
+        """Deliver a request, or reject it if its id is in use, too many are open or the process stops."""
         request_id = client_request.id
         if request_id in self.requests.open or self.attempts.has_in_flight(request_id):
             pending_reply.complete(ID_IN_USE_REPLY)
@@ -161,9 +161,9 @@
         return len(self.requests.open)
 
     def _on_deadline(self, request: OpenRequest) -> None:
-        """Abandon the attempts of a request whose client stops waiting, and fail it if it is still open.
+        """Abandon all attempts of a request at its deadline, and fail the request if it is still open.
 
-        The policy replies before the deadline; only a fault leaves a request without a reply until then.
+        The policy replies before the deadline; a request is still open then only because of a fault.
         """
         request_id = request.client_request.id
         self.attempts.abandon_all(request, Outcome.TIMED_OUT)
@@ -178,7 +178,7 @@
         if request is None:
             return
         self.deliver(ClientDisconnected(request_id))
-        # A backend may drop a request that it has not begun once the connection closes.
+        # Once its connection closes, a backend may drop a request that it has not started.
         self.attempts.abandon_all(request, Outcome.CANCELLED)
         request.cancel_deadline_timer()
 
@@ -217,7 +217,7 @@
     # ---- shutdown ----
 
     def fail_open_requests(self) -> None:
-        """Fail every open request as the process stops, and reject all that come from now on."""
+        """Fail all open requests, as the process is stopping, and reject all that arrive later."""
         self.is_stopping = True
         for request_id in list(self.requests.open):
             self.requests.reply(request_id, FAILED_REPLY)
--- a/gateway/network/dispatcher/endpoint_updates.py
+++ b/gateway/network/dispatcher/endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Endpoint updates of discovery: applied to the backend pool first, then delivered to the policy."""
+"""Applies discovery's endpoint updates to the backend pool, then delivers them to the policy."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 
 class EndpointUpdateForwarder:
-    """Applies deltas and snapshots to the pool, and forwards them; a snapshot may come in several parts."""
+    """Applies deltas and snapshots, which may come in several parts, and forwards them to the policy."""
 
     def __init__(self, backends: BackendPool, deliver: Callable[[Event], None]) -> None:
         """`deliver` hands an event to the policy."""
         self._backends = backends
         self._deliver = deliver
         self._snapshot_addresses: dict[int, str] = {}
-        """Addresses by backend id, from the parts of a snapshot that is not complete yet."""
+        """Addresses by backend id, from the parts received so far of an incomplete snapshot."""
 
     def apply(
         self, kind: UpdateKind, listed_endpoints: tuple[ListedEndpoint, ...], *, is_first: bool, is_last: bool
     ) -> None:
-        """Apply a delta, or a part of a snapshot; the last part removes backends that are not listed."""
+        """Apply a delta or a part of a snapshot; the last part drains backends that the snapshot omits."""
         is_snapshot = kind is not UpdateKind.DELTA
         if is_snapshot and is_first:
             self._snapshot_addresses = {}
@@ -39,6 +39,7 @@
     def _stage_addresses(self, listed_endpoints: tuple[ListedEndpoint, ...]) -> None:
         for listed in listed_endpoints:
             backend_id = listed.endpoint.backend_id
-            # A draining backend has no address; of a backend that is listed twice, the last entry counts.
+            # A draining backend has no address in the pool. If a backend is listed twice, the last entry
+            # counts.
             if address := self._backends.addresses.get(backend_id):
                 self._snapshot_addresses[backend_id] = address
