--- a/tests/network/backends/test_backend_endings.py
+++ b/tests/network/backends/test_backend_endings.py
@@ -1,4 +1,4 @@
-"""Ways in which a backend's connection ends, on real sockets, each while a request is on it."""
+"""Connections to backends that end while a request is on them, over real sockets."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 @runs_in_loop
 async def test_attempt_sent_while_the_backend_closes_may_have_run(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The request is written while the backend's close is in transit, which nothing here can detect."""
+    """The request is written while the backend's close is in transit, which the gateway cannot detect."""
     monkeypatch.setattr(BackendConnection, "is_alive", lambda _connection: True)
     async with open_manual_backend() as (server, pool):
         first = RecordedAttempt(pool)
@@ -53,7 +53,7 @@
         await wait_for_reuse_delay(pool)
 
         connection.shutdown(socket.SHUT_RDWR)
-        second = RecordedAttempt(pool)  # in the same turn of the loop
+        second = RecordedAttempt(pool)  # in the same turn of the event loop
 
         assert await second.outcome() is Outcome.CONNECTION_RESET
         assert not pool.connections
@@ -61,7 +61,7 @@
 
 @runs_in_loop
 async def test_reply_and_timeout_at_the_same_time_give_one_outcome() -> None:
-    """The kernel holds the reply, unread, as the attempt is abandoned."""
+    """The attempt is abandoned when the kernel has received its reply, but the gateway has not read it."""
     async with open_manual_backend() as (server, pool):
         first = RecordedAttempt(pool)
         connection = await server.accept_after(1)
@@ -72,7 +72,7 @@
 
         assert first.ends == [(Outcome.TIMED_OUT, b"")]
         assert not pool.connections
-        second = RecordedAttempt(pool)  # on a connection of its own, without the first one's reply
+        second = RecordedAttempt(pool)  # on a new connection, without the first attempt's reply
         connection = await server.accept_after(1)
         connection.sendall(served_reply(b"other"))
         assert await second.result() == (Outcome.OK, b"other")
@@ -81,7 +81,7 @@
 
 @runs_in_loop
 async def test_connection_established_while_the_process_stalled_is_used() -> None:
-    """Its time-out and its establishment are due together, and the event loop runs timers first."""
+    """The event loop finds the connect time-out and the connection together, and runs timers first."""
     loop = asyncio.get_running_loop()
     async with open_pool(FakeBackend(), connect_timeout_ms=1) as pool:
         attempts: list[RecordedAttempt] = []
--- a/tests/network/backends/test_backend_pool.py
+++ b/tests/network/backends/test_backend_pool.py
@@ -87,7 +87,7 @@
 
 
 class NonReadingServer(FakeServer):
-    """Reads nothing, and aborts the connection once `may_abort` is set."""
+    """A server that reads nothing, and aborts each connection once `may_abort` is set."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -101,7 +101,7 @@
 
 @runs_in_loop
 async def test_break_before_the_last_byte_ends_as_connect_error() -> None:
-    """The backend does not read, so the tail of a large request stays in the process."""
+    """The backend does not read, so the end of a large request stays in the gateway's process."""
     server = NonReadingServer()
     async with open_pool(server) as pool:
         attempt = RecordedAttempt(pool, body=b"x" * 32_000_000)
@@ -125,7 +125,7 @@
 
 @runs_in_loop
 async def test_request_is_not_sent_after_a_drain_reported_while_connecting() -> None:
-    """The end of the grace holds at the first byte written, not when the attempt was started."""
+    """The drain grace must not be over when the first byte is written, not just when the attempt starts."""
     backend = FakeBackend()
     async with open_pool(backend, drain_grace_ms=0) as pool:
         attempt = RecordedAttempt(pool)  # its connection is being established
@@ -150,10 +150,10 @@
 
 @runs_in_loop
 async def test_retry_past_its_latest_start_once_connected_is_not_sent() -> None:
-    """Once the backends have forgotten the first attempt, it would run a second time."""
+    """Once the backends have forgotten the first attempt, the request would run a second time."""
     backend = FakeBackend()
     async with open_pool(backend) as pool:
-        attempt = RecordedAttempt(pool)  # its connection is established in a later turn of the loop
+        attempt = RecordedAttempt(pool)  # its connection is established in a later turn of the event loop
 
         attempt.attempt.start_before = now_ms()
 
@@ -177,7 +177,7 @@
 
 @runs_in_loop
 async def test_connection_of_an_abandoned_attempt_is_closed_before_the_end_is_reported() -> None:
-    """The next attempt is sent at once, and two must never be in flight together."""
+    """The next attempt of the request is sent at once, and two must never be in flight together."""
     backend = scripted(None)
     async with open_pool(backend) as pool:
         attempt = RecordedAttempt(pool)
@@ -240,7 +240,7 @@
 
 @runs_in_loop
 async def test_connection_that_the_backend_has_closed_is_not_written_to() -> None:
-    """The close may be unread; a request written to the connection would end as a reset."""
+    """Before the close is read, a request written to the connection would end as a reset."""
     async with open_idle_connection() as (backend, pool, connection):
         stop_polling(connection)
         backend.close_connections()
@@ -303,7 +303,7 @@
 
 @asynccontextmanager
 async def pool_with_long_list() -> AsyncIterator[BackendPool]:
-    """A pool of 2,000 listed backends, with a connection to backend 7."""
+    """Open a pool of 2,000 listed backends, with a connection to backend 7."""
     backend = FakeBackend()
     async with open_pool(backend) as pool:
         for backend_id in range(2_000):
--- a/tests/network/backends/test_backend_replies.py
+++ b/tests/network/backends/test_backend_replies.py
@@ -1,4 +1,4 @@
-"""Replies of backends, well-formed or not, and their effect on attempt and connection."""
+"""Well-formed and malformed replies of backends, and what they do to the attempt and the connection."""
 
 from __future__ import annotations
 
@@ -76,7 +76,7 @@
 @pytest.mark.parametrize("reply", [*MALFORMED_REPLIES, b"-OTHER\r\n", *VALUES_WITH_MALFORMED_METADATA])
 @runs_in_loop
 async def test_connection_with_a_malformed_or_unknown_reply_is_not_reused(reply: bytes) -> None:
-    """What follows of it would be taken for the reply to the next request, or delay that one."""
+    """Further bytes of the reply would be taken for the next request's reply, or delay that reply."""
     backend = scripted(reply)
     async with open_pool(backend) as pool:
         await RecordedAttempt(pool).result()
@@ -110,7 +110,7 @@
 
 @runs_in_loop
 async def test_bytes_after_a_reply_are_not_taken_for_the_next_reply() -> None:
-    """A second reply or noise may arrive after the first reply was read."""
+    """A second reply or stray bytes may arrive after the first reply was read."""
     async with open_idle_connection() as (backend, pool, connection):
         stop_polling(connection)
         (writer,) = backend.open
--- a/tests/network/test_dispatcher.py
+++ b/tests/network/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatcher between a scripted policy and the parts that own the sockets."""
+"""The dispatcher with a scripted policy, and with real connections to clients and backends."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class AttemptEnd(NamedTuple):
-    """What the dispatcher reported of an attempt's end."""
+    """An `AttemptEnded` event without its backend and latency."""
 
     request_id: str
     number: int
@@ -48,7 +48,7 @@
 
 
 class DispatcherHarness:
-    """A dispatcher with a scripted policy and one client connection, whose far end is `client`."""
+    """A dispatcher with a scripted policy and one client connection, with `client` as its client side."""
 
     def __init__(self, max_open_requests: int = 10) -> None:
         self.policy = StubPolicy()
@@ -61,7 +61,7 @@
         self.connection = ClientConnection(create_listener(self.dispatcher, self.parser), accepted)
 
     def request(self, request_id: str = "r1", remaining_ms: int = 3000) -> PendingReply:
-        """Hand a request of the client to the dispatcher."""
+        """Hand a request to the dispatcher as if the client had sent it."""
         pending_reply = PendingReply(self.connection)
         pending_reply.open_request(request_id)
         self.connection.replies.add(pending_reply)
@@ -70,11 +70,11 @@
         return pending_reply
 
     def attempt_ended_events(self) -> list[AttemptEnded]:
-        """The ends of attempts that were reported to the policy."""
+        """Return the `AttemptEnded` events that were delivered to the policy."""
         return [event for event in self.policy.events if isinstance(event, AttemptEnded)]
 
     def attempt_ends(self) -> list[AttemptEnd]:
-        """The same without backends and latencies."""
+        """Return the `AttemptEnded` events without their backends and latencies."""
         return [
             AttemptEnd(event.request_id, event.attempt_number, event.outcome, event.request_finished)
             for event in self.attempt_ended_events()
@@ -83,7 +83,7 @@
 
 @contextlib.asynccontextmanager
 async def unresponsive_backend(harness: DispatcherHarness) -> AsyncIterator[list[asyncio.StreamWriter]]:
-    """A listed backend that accepts connections and sends nothing; yields its ends of them."""
+    """Start a listed backend that sends nothing on its connections; yield the writers of these."""
     writers: list[asyncio.StreamWriter] = []
     server = await asyncio.start_server(lambda _reader, writer: writers.append(writer), LOCAL, 0)
     port = server.sockets[0].getsockname()[1]
@@ -119,7 +119,7 @@
 async def test_request_that_the_policy_forgets_fails_at_its_deadline(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """A fault at a timer or a counter's response would leave its client without a reply."""
+    """Otherwise a fault at a timer or a counter response would leave the client without a reply."""
     harness = DispatcherHarness()
     pending_reply = harness.request(remaining_ms=20)
     assert pending_reply.reply is None
@@ -141,7 +141,7 @@
     harness.request()
 
     assert harness.attempt_ends() == [
-        AttemptEnd("r1", 0, Outcome.CONNECT_ERROR, request_finished=False),  # a backend that is not listed
+        AttemptEnd("r1", 0, Outcome.CONNECT_ERROR, request_finished=False),  # the backend is not listed
         AttemptEnd("r1", 1, Outcome.CONNECT_ERROR, request_finished=False),
         AttemptEnd("r1", 2, Outcome.NOT_STARTED, request_finished=False),
         AttemptEnd("r1", 0, Outcome.NOT_STARTED, request_finished=True),
@@ -152,7 +152,7 @@
 async def test_attempt_not_started_for_a_disconnected_client_ends_by_its_own_number(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Under another number, the policy would count the attempt as in flight for ever."""
+    """Reported under another number, the attempt would stay in flight for ever in the policy's counts."""
     monkeypatch.setattr(client_connection, "DISCONNECT_CHECK_INTERVAL_MS", 0.0)
     harness = DispatcherHarness()
     harness.policy.actions_by_event[RequestArrived] = [StartAttempt("r1", BACKEND)]
@@ -192,7 +192,7 @@
 
 @runs_in_loop
 async def test_id_is_in_use_while_an_attempt_of_it_is_in_flight() -> None:
-    """The policy need not cancel an attempt when its request has ended; both are known by the id."""
+    """The policy need not cancel an attempt when its request has ended, and knows both by the id."""
     harness = DispatcherHarness()
     harness.policy.actions_by_event[RequestArrived] = [StartAttempt("r1", BACKEND), Reject("r1")]
     async with unresponsive_backend(harness) as writers:
@@ -237,7 +237,7 @@
 
 
 @runs_in_loop
-async def test_counter_calls_fail_as_never_made_without_a_counter() -> None:
+async def test_counter_calls_without_a_counter_fail_as_connect_errors() -> None:
     harness = DispatcherHarness()
     harness.policy.actions_by_event[RequestArrived] = [IncrementCounter("n", 1.0, 100.0)]
 
--- a/tests/network/test_dispatcher_endings.py
+++ b/tests/network/test_dispatcher_endings.py
@@ -1,6 +1,6 @@
-"""Requests whose clients disconnect while the gateway waits for something: they are not forwarded.
+"""Requests whose clients disconnect while the gateway waits for something are not forwarded.
 
-The crossings are forced on real sockets: a scripted peer delays, splits or resets what it sends.
+The races are forced on real sockets: a scripted peer delays, splits or resets what it sends.
 """
 
 from __future__ import annotations
@@ -43,10 +43,12 @@
 SECOND_BACKEND = 8
 
 STALL_S = 0.12
-"""Longer than the 0.1 s within which an attempt may still begin for a client that has disconnected."""
+"""Seconds of a stall: longer than the 0.1 s in which an attempt may start for a disconnected client."""
 
 REMAINING_MS = 8_000
-"""Long enough to open hundreds of requests one by one before the crossing, on a busy machine too."""
+"""Milliseconds until the deadline: enough to open hundreds of requests one by one before the race, even on a
+busy machine.
+"""
 
 
 @runs_in_loop
@@ -67,7 +69,7 @@
         await wait_until(lambda: harness.counter.received)
 
         disconnecting_client.close()
-        other_customer = b"00000000b4d65522"  # its lease does not wait for the same response
+        other_customer = b"00000000b4d65522"  # the lease of this customer does not wait for the same response
         assert await harness.request(other, id=b"1", customer=other_customer) == b"value"
         counter_is_released.set()
         for number in (b"2", b"3"):
@@ -125,7 +127,7 @@
 
 
 class Trigger(Enum):
-    """The event at which the policy starts an attempt for a request that waits."""
+    """The event at which the policy starts an attempt of a waiting request."""
 
     ATTEMPT_ENDED = "a failed attempt"
     TIMER = "a timer"
@@ -134,7 +136,7 @@
 
 
 class DelayingPolicy(StubPolicy):
-    """Delays all requests until the trigger, then starts an attempt of each at the second backend."""
+    """Delays clients' requests until the trigger, then starts an attempt of each at the second backend."""
 
     def __init__(self, trigger: Trigger) -> None:
         super().__init__()
@@ -157,7 +159,7 @@
         return []
 
     def delay(self, request_id: str) -> Action:
-        """Return the action after which the trigger comes."""
+        """Return the action that leads to the trigger."""
         self.waiting.append(request_id)
         match self.trigger:
             case Trigger.ATTEMPT_ENDED | Trigger.TIMER:
@@ -169,7 +171,7 @@
 
 
 class DisconnectRace:
-    """Clients that disconnect in the turn of the event loop in which the trigger comes for their requests."""
+    """Clients that disconnect in the turn of the event loop in which their requests' trigger occurs."""
 
     def __init__(self, trigger: Trigger, client_count: int) -> None:
         self.trigger = trigger
@@ -183,7 +185,7 @@
         self.counter = CounterClient(loop, TimerQueue(loop), self.counter_server.address, 60_000.0)
 
     async def send_requests(self, dispatcher: Dispatcher, port: int) -> None:
-        """Open the clients' requests, so that each waits for the trigger."""
+        """Send the clients' requests, which then wait for the trigger; none if a request is the trigger."""
         if self.trigger is Trigger.REQUEST:
             return
         for id in self.request_ids:
@@ -198,7 +200,7 @@
             await wait_until(self.all_counter_calls_are_written)
 
     def all_counter_calls_are_written(self) -> bool:
-        """Whether the call of each request has left the gateway."""
+        """Return whether the counter call of each request has left the gateway."""
         if len(self.counter.unreported_calls["all"]) != len(self.request_ids):
             return False
         return not any(
@@ -246,9 +248,10 @@
 async def test_no_attempt_starts_for_a_client_whose_disconnect_is_unread(
     trigger: Trigger, client_count: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """After a stall, the event loop finds trigger and disconnect in one turn, the trigger first.
+    """After a stall, the event loop finds the trigger and the disconnect in one turn, the trigger first.
 
-    A timer or a response triggers the first attempt or a hedged request, a failed attempt a retry.
+    A timer or a counter response triggers a first attempt or a hedged request; a failed attempt triggers a
+    retry.
     """
     monkeypatch.setattr("gateway.network.counter.connection.INACTIVITY_TIMEOUT_MS", math.inf)
     race = DisconnectRace(trigger, client_count)
@@ -281,7 +284,7 @@
 
 
 def accept_from(listener: socket.socket, client: socket.socket) -> socket.socket:
-    """Accept connections until that of this client, without a turn of the event loop."""
+    """Accept connections until the one from `client` has come, without a turn of the event loop."""
     client_address = client.getsockname()
     while True:
         connection, peer_address = listener.accept()
@@ -292,7 +295,7 @@
 
 @runs_in_loop
 async def test_connection_established_as_its_client_disconnects_is_not_written_to() -> None:
-    """The event loop finds both in one turn, the connection first, as it waited behind a full queue."""
+    """The event loop finds both in one turn, first the connection, which waited behind a full queue."""
     with full_accept_queue() as (listener, fillers):
         async with running_dispatcher() as (dispatcher, policy, clients, port):
             dispatcher.backends.update_endpoint(FIRST_BACKEND, listener.getsockname(), EndpointState.READY)
