--- a/gateway/network/backends/pool.py
+++ b/gateway/network/backends/pool.py
@@ -22,7 +22,7 @@
 """Milliseconds between two sweeps, each of which decays the counts of lost requests once."""
 
 DRAIN_GRACE_MARGIN_MS = 50.0
-"""Milliseconds before the end of a drain grace at which the pool stops sending, so that nothing is late."""
+"""Milliseconds before the end of a drain grace from which on no request is sent, so that none is late."""
 
 
 class BackendPool:
