--- a/tests/network/test_dispatcher_endings.py
+++ b/tests/network/test_dispatcher_endings.py
@@ -1,6 +1,6 @@
-"""Requests whose clients disconnect while the gateway waits for something: they are not forwarded.
+"""Requests whose clients disconnect while the gateway waits for something are not forwarded.
 
-The crossings are forced on real sockets: a scripted peer delays, splits or resets what it sends.
+The races are forced on real sockets: a scripted peer delays, splits or resets what it sends.
 """
 
 from __future__ import annotations
@@ -43,10 +43,12 @@
 SECOND_BACKEND = 8
 
 STALL_S = 0.12
-"""Longer than the 0.1 s within which an attempt may still begin for a client that has disconnected."""
+"""Seconds of a stall: longer than the 0.1 s in which an attempt may start for a disconnected client."""
 
 REMAINING_MS = 8_000
-"""Long enough to open hundreds of requests one by one before the crossing, on a busy machine too."""
+"""Milliseconds until the deadline: enough to open hundreds of requests one by one before the race, even on a
+busy machine.
+"""
 
 
 @runs_in_loop
@@ -61,13 +63,13 @@
     counter_settings = {**SETTINGS["familyInfo"], "countWait": 5_000.0}
     harness.settings = {**SETTINGS, "groupSize": 9, "familyInfo": counter_settings}
     async with running_gateway(harness):
-        leaving = await harness.client()
+        disconnecting_client = await harness.client()
         other = await harness.client()
-        leaving.send(*request_command(b"waits", plan=b"basic", gateway_set_size=9))
+        disconnecting_client.send(*request_command(b"waits", plan=b"basic", gateway_set_size=9))
         await wait_until(lambda: harness.counter.received)
 
-        leaving.close()
-        other_customer = b"00000000b4d65522"  # its lease does not wait for the same response
+        disconnecting_client.close()
+        other_customer = b"00000000b4d65522"  # the lease of this customer does not wait for the same response
         assert await harness.request(other, id=b"1", customer=other_customer) == b"value"
         counter_is_released.set()
         for number in (b"2", b"3"):
@@ -81,12 +83,12 @@
     with full_accept_queue() as (listener, _):
         listener.setblocking(False)
         async with running_dispatcher() as (dispatcher, policy, clients, port):
-            dispatcher.backends.update(FIRST_BACKEND, listener.getsockname(), EndpointState.READY)
+            dispatcher.backends.update_endpoint(FIRST_BACKEND, listener.getsockname(), EndpointState.READY)
             policy.actions_by_event[RequestArrived] = [StartAttempt("waits", FIRST_BACKEND)]
-            leaving = connect_at_once(port, encode_command(*request_command(b"waits")))
+            disconnecting_client = connect_at_once(port, encode_command(*request_command(b"waits")))
             await wait_until(lambda: dispatcher.attempts.in_flight)
 
-            leaving.close()
+            disconnecting_client.close()
             await wait_until(lambda: not clients.connections)
 
             assert not dispatcher.backends.connections
@@ -109,12 +111,12 @@
     first = FakeBackend(break_connection_when_released)
     second = FakeBackend(break_connection_when_released)
     async with running_gateway(GatewayHarness(first, second)) as harness:
-        leaving = await harness.client()
+        disconnecting_client = await harness.client()
         other = await harness.client()
-        leaving.send(*request_command(b"waits"))
+        disconnecting_client.send(*request_command(b"waits"))
         await wait_until(lambda: first.received or second.received)
 
-        leaving.close()
+        disconnecting_client.close()
         assert await harness.request(other, id=b"1") == b"value"
         backend_is_released.set()
         for number in (b"2", b"3"):
@@ -125,7 +127,7 @@
 
 
 class Trigger(Enum):
-    """The event at which the policy starts an attempt for a request that waits."""
+    """The event at which the policy starts an attempt of a waiting request."""
 
     ATTEMPT_ENDED = "a failed attempt"
     TIMER = "a timer"
@@ -134,7 +136,7 @@
 
 
 class DelayingPolicy(StubPolicy):
-    """Delays all requests until the trigger, then starts an attempt of each at the second backend."""
+    """Delays clients' requests until the trigger, then starts an attempt of each at the second backend."""
 
     def __init__(self, trigger: Trigger) -> None:
         super().__init__()
@@ -157,7 +159,7 @@
         return []
 
     def delay(self, request_id: str) -> Action:
-        """Return the action after which the trigger comes."""
+        """Return the action that leads to the trigger."""
         self.waiting.append(request_id)
         match self.trigger:
             case Trigger.ATTEMPT_ENDED | Trigger.TIMER:
@@ -168,12 +170,12 @@
                 return StartAttempt(request_id, SECOND_BACKEND)
 
 
-class Crossing:
-    """Clients that disconnect in the turn of the event loop in which the trigger comes for their requests."""
+class DisconnectRace:
+    """Clients that disconnect in the turn of the event loop in which their requests' trigger occurs."""
 
     def __init__(self, trigger: Trigger, client_count: int) -> None:
         self.trigger = trigger
-        self.ids = [b"%d" % number for number in range(client_count)]
+        self.request_ids = [b"%d" % number for number in range(client_count)]
         self.clients: list[socket.socket] = []
         self.delayed_connections: list[socket.socket] = []
         """Connections of the gateway on which a backend or the counter delays its response."""
@@ -183,10 +185,10 @@
         self.counter = CounterClient(loop, TimerQueue(loop), self.counter_server.address, 60_000.0)
 
     async def send_requests(self, dispatcher: Dispatcher, port: int) -> None:
-        """Open the clients' requests, so that each waits for the trigger."""
+        """Send the clients' requests, which then wait for the trigger; none if a request is the trigger."""
         if self.trigger is Trigger.REQUEST:
             return
-        for id in self.ids:
+        for id in self.request_ids:
             command = encode_command(*request_command(id, remaining_ms=REMAINING_MS))
             self.clients.append(connect_at_once(port, command))
             await wait_until(lambda: len(dispatcher.requests.open) == len(self.clients))
@@ -198,19 +200,19 @@
             await wait_until(self.all_counter_calls_are_written)
 
     def all_counter_calls_are_written(self) -> bool:
-        """Whether the call of each request has left the gateway."""
-        if len(self.counter.unreported_calls["all"]) != len(self.ids):
+        """Return whether the counter call of each request has left the gateway."""
+        if len(self.counter.unreported_calls["all"]) != len(self.request_ids):
             return False
         return not any(
             channel.is_flush_scheduled or channel.unwritten_calls or channel.connect_task
             for channel in self.counter.channels
         )
 
-    def cross(self, dispatcher: Dispatcher, port: int) -> None:
+    def trigger_and_disconnect(self, dispatcher: Dispatcher, port: int) -> None:
         """Cause the trigger and the disconnects, while the event loop is stalled."""
         match self.trigger:
             case Trigger.REQUEST:
-                for id in self.ids:
+                for id in self.request_ids:
                     self.clients.append(connect_at_once(port, encode_command(*request_command(id))))
             case Trigger.ATTEMPT_ENDED:
                 for connection in self.delayed_connections:
@@ -218,7 +220,7 @@
             case Trigger.COUNTER_RESPONSE:
                 self.delayed_connections[0].sendall(b"ok 1\r\n")
             case Trigger.TIMER:
-                for id in self.ids:
+                for id in self.request_ids:
                     event = TimerFired(TimerToken(TimerKind.REQUEST, id.decode()))
                     dispatcher.timers.call_at(now_ms(), functools.partial(dispatcher.deliver, event))
         for client in self.clients:
@@ -234,7 +236,7 @@
         self.counter_server.close()
 
 
-async def reply_to_request(peer: RespPeer, id: bytes) -> object:
+async def send_and_receive(peer: RespPeer, id: bytes) -> object:
     """Send a request and return its reply."""
     peer.send(*request_command(id))
     return await peer.receive()
@@ -246,40 +248,43 @@
 async def test_no_attempt_starts_for_a_client_whose_disconnect_is_unread(
     trigger: Trigger, client_count: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """After a stall, the event loop finds trigger and disconnect in one turn, the trigger first.
+    """After a stall, the event loop finds the trigger and the disconnect in one turn, the trigger first.
 
-    A timer or a response triggers the first attempt or a hedged request, a failed attempt a retry.
+    A timer or a counter response triggers a first attempt or a hedged request; a failed attempt triggers a
+    retry.
     """
     monkeypatch.setattr("gateway.network.counter.connection.INACTIVITY_TIMEOUT_MS", math.inf)
-    crossing = Crossing(trigger, client_count)
+    race = DisconnectRace(trigger, client_count)
     second = FakeBackend()
     await second.start()
     policy = DelayingPolicy(trigger)
     async with running_dispatcher(
-        policy, counter=crossing.counter, max_connections=2 * client_count + 10
+        policy,
+        counter=race.counter,
+        max_connections=2 * client_count + 10,
     ) as (dispatcher, _, _, port):
-        dispatcher.backends.update(FIRST_BACKEND, crossing.backend.address, EndpointState.READY)
-        dispatcher.backends.update(SECOND_BACKEND, second.address, EndpointState.READY)
+        dispatcher.backends.update_endpoint(FIRST_BACKEND, race.backend.address, EndpointState.READY)
+        dispatcher.backends.update_endpoint(SECOND_BACKEND, second.address, EndpointState.READY)
         other = await connect(port)
         # This leaves an idle connection on which an attempt is written at once.
-        assert await reply_to_request(other, b"before") == b"value"
+        assert await send_and_receive(other, b"before") == b"value"
         await wait_for_reuse_delay(dispatcher.backends)
-        await crossing.send_requests(dispatcher, port)
+        await race.send_requests(dispatcher, port)
 
-        await call_between_reads(functools.partial(crossing.cross, dispatcher, port))
+        await call_between_reads(functools.partial(race.trigger_and_disconnect, dispatcher, port))
         await wait_until(lambda: len(policy.events_of(ClientDisconnected)) == client_count)
 
-        assert await reply_to_request(other, b"after") == b"value"
+        assert await send_and_receive(other, b"after") == b"value"
         assert [command[2] for command in second.received] == [b"before", b"after"]
         assert not dispatcher.requests.open
         assert not dispatcher.attempts.in_flight
         assert not dispatcher.requests.disconnected
-    crossing.close()
+    race.close()
     await second.stop()
 
 
 def accept_from(listener: socket.socket, client: socket.socket) -> socket.socket:
-    """Accept connections until that of this client, without a turn of the event loop."""
+    """Accept connections until the one from `client` has come, without a turn of the event loop."""
     client_address = client.getsockname()
     while True:
         connection, peer_address = listener.accept()
@@ -290,12 +295,12 @@
 
 @runs_in_loop
 async def test_connection_established_as_its_client_disconnects_is_not_written_to() -> None:
-    """The event loop finds both in one turn, the connection first, as it waited behind a full queue."""
+    """The event loop finds both in one turn, first the connection, which waited behind a full queue."""
     with full_accept_queue() as (listener, fillers):
         async with running_dispatcher() as (dispatcher, policy, clients, port):
-            dispatcher.backends.update(FIRST_BACKEND, listener.getsockname(), EndpointState.READY)
+            dispatcher.backends.update_endpoint(FIRST_BACKEND, listener.getsockname(), EndpointState.READY)
             policy.actions_by_event[RequestArrived] = [StartAttempt("waits", FIRST_BACKEND)]
-            leaving = connect_at_once(port, encode_command(*request_command(b"waits")))
+            disconnecting_client = connect_at_once(port, encode_command(*request_command(b"waits")))
             await wait_until(lambda: dispatcher.attempts.in_flight)
             (connection,) = dispatcher.backends.connections
             assert not connection.is_connected
@@ -304,7 +309,7 @@
                 filler.close()
             listener.settimeout(10.0)
             with accept_from(listener, connection.socket) as accepted:
-                leaving.close()
+                disconnecting_client.close()
                 time.sleep(STALL_S)
                 await wait_until(lambda: not clients.connections)
 
