--- a/tests/network/backends/test_backend_endings.py
+++ b/tests/network/backends/test_backend_endings.py
@@ -29,7 +29,7 @@
     async with open_manual_backend() as (server, pool):
         memory = pool.resources.reply_memory
         attempt = RecordedAttempt(pool)
-        connection = await server.accept_after(1)
+        connection = await server.accept_and_receive(1)
         connection.sendall(received)
         await wait_until(lambda: memory.reserved_bytes == len(received))
 
@@ -47,7 +47,7 @@
     monkeypatch.setattr(BackendConnection, "is_alive", lambda _connection: True)
     async with open_manual_backend() as (server, pool):
         first = RecordedAttempt(pool)
-        connection = await server.accept_after(1)
+        connection = await server.accept_and_receive(1)
         connection.sendall(VALUE_REPLY)
         assert await first.outcome() is Outcome.OK
         await wait_for_reuse_delay(pool)
@@ -64,7 +64,7 @@
     """The kernel holds the reply, unread, as the attempt is abandoned."""
     async with open_manual_backend() as (server, pool):
         first = RecordedAttempt(pool)
-        connection = await server.accept_after(1)
+        connection = await server.accept_and_receive(1)
 
         connection.sendall(VALUE_REPLY)
         pool.abandon(first.attempt, Outcome.TIMED_OUT)
@@ -73,7 +73,7 @@
         assert first.ends == [(Outcome.TIMED_OUT, b"")]
         assert not pool.connections
         second = RecordedAttempt(pool)  # on a connection of its own, without the first one's reply
-        connection = await server.accept_after(1)
+        connection = await server.accept_and_receive(1)
         connection.sendall(served_reply(b"other"))
         assert await second.result() == (Outcome.OK, b"other")
         assert len(first.ends) == 1
--- a/tests/network/backends/test_backend_pool.py
+++ b/tests/network/backends/test_backend_pool.py
@@ -19,9 +19,9 @@
     POOL_SETTINGS,
     VALUE_REPLY,
     RecordedAttempt,
+    backend_with_fixed_reply,
     open_idle_connection,
     open_pool,
-    scripted,
     stop_polling,
     wait_for_reuse_delay,
 )
@@ -106,7 +106,7 @@
     async with open_pool(server) as pool:
         attempt = RecordedAttempt(pool, body=b"x" * 32_000_000)
         writer = attempt.connection.writer
-        await wait_until(lambda: server.accepted and writer.is_waiting)
+        await wait_until(lambda: server.accepted_count and writer.is_waiting)
 
         server.may_abort.set()
 
@@ -134,7 +134,7 @@
 
         assert await attempt.outcome() is Outcome.CONNECT_ERROR
         assert await RecordedAttempt(pool).outcome() is Outcome.CONNECT_ERROR
-        await wait_until(lambda: not backend.open)
+        await wait_until(lambda: not backend.open_connections)
         assert not backend.received
 
 
@@ -178,7 +178,7 @@
 @runs_in_loop
 async def test_connection_of_an_abandoned_attempt_is_closed_before_the_end_is_reported() -> None:
     """The next attempt is sent at once, and two must never be in flight together."""
-    backend = scripted(None)
+    backend = backend_with_fixed_reply(None)
     async with open_pool(backend) as pool:
         attempt = RecordedAttempt(pool)
         await wait_until(lambda: backend.received)
@@ -189,7 +189,7 @@
         pool.abandon(attempt.attempt, Outcome.CANCELLED)
 
         assert closed_at_end == [True]
-        await wait_until(lambda: backend.ended)
+        await wait_until(lambda: backend.closed_by_gateway_count)
 
 
 @runs_in_loop
@@ -212,7 +212,9 @@
 
 @runs_in_loop
 async def test_request_with_side_effects_that_may_have_run_is_not_retried() -> None:
-    async with running_gateway(GatewayHarness(scripted(b""), scripted(b""))) as harness:
+    async with running_gateway(
+        GatewayHarness(backend_with_fixed_reply(b""), backend_with_fixed_reply(b""))
+    ) as harness:
         client = await harness.client()
 
         reply = await harness.request(client, request_class=b"wipe", body=b"x")
@@ -229,13 +231,13 @@
     backend = FakeBackend()
     async with open_pool(backend) as pool:
         await asyncio.gather(RecordedAttempt(pool).result(), RecordedAttempt(pool).result())
-        assert backend.accepted == 2
+        assert backend.accepted_count == 2
 
         for _ in range(5):
             await wait_for_reuse_delay(pool)
             assert await RecordedAttempt(pool).outcome() is Outcome.OK
 
-        assert backend.accepted == 2
+        assert backend.accepted_count == 2
 
 
 @runs_in_loop
@@ -247,7 +249,7 @@
         await wait_until(lambda: not connection.is_alive())
 
         assert await RecordedAttempt(pool).outcome() is Outcome.OK
-        assert backend.accepted == 2
+        assert backend.accepted_count == 2
         assert len(backend.received) == 2
 
 
@@ -259,7 +261,7 @@
     async with open_idle_connection() as (backend, pool, connection):
         connection.idle_since -= pool.max_idle_ms - 20
 
-        await wait_until(lambda: backend.ended)
+        await wait_until(lambda: backend.closed_by_gateway_count)
         assert not pool.connections
         assert pool.max_idle_ms < POOL_SETTINGS["keepalive_ms"] * 0.8
 
@@ -270,14 +272,14 @@
 @runs_in_loop
 async def test_connection_bound_closes_idle_connections_and_then_rejects() -> None:
     idle = FakeBackend()
-    unresponsive = scripted(None)
+    unresponsive = backend_with_fixed_reply(None)
     async with open_pool(idle, unresponsive, max_connections=1) as pool:
         assert await RecordedAttempt(pool).outcome() is Outcome.OK
 
         in_flight = RecordedAttempt(pool, backend_id=1)
 
         await wait_until(lambda: unresponsive.received)
-        await wait_until(lambda: idle.ended)
+        await wait_until(lambda: idle.closed_by_gateway_count)
         assert await RecordedAttempt(pool).outcome() is Outcome.CONNECT_ERROR
         assert not in_flight.ends
         assert len(pool.connections) == 1
@@ -297,7 +299,7 @@
         assert await RecordedAttempt(pool).outcome() is Outcome.OK
         assert len(old.received) == 1
         assert len(new.received) == 1
-        await wait_until(lambda: old.ended)
+        await wait_until(lambda: old.closed_by_gateway_count)
         await new.stop()
 
 
--- a/tests/network/backends/test_backend_replies.py
+++ b/tests/network/backends/test_backend_replies.py
@@ -11,9 +11,9 @@
 from tests.support.backend_harness import (
     VALUE_REPLY,
     RecordedAttempt,
+    backend_with_fixed_reply,
     open_idle_connection,
     open_pool,
-    scripted,
     stop_polling,
     wait_for_reuse_delay,
 )
@@ -67,7 +67,7 @@
 )
 @runs_in_loop
 async def test_reply_determines_the_outcome(reply: bytes, outcome: Outcome) -> None:
-    async with open_pool(scripted(reply)) as pool:
+    async with open_pool(backend_with_fixed_reply(reply)) as pool:
         attempt = RecordedAttempt(pool)
 
         assert await attempt.outcome() is outcome
@@ -77,7 +77,7 @@
 @runs_in_loop
 async def test_connection_with_a_malformed_or_unknown_reply_is_not_reused(reply: bytes) -> None:
     """What follows of it would be taken for the reply to the next request, or delay that one."""
-    backend = scripted(reply)
+    backend = backend_with_fixed_reply(reply)
     async with open_pool(backend) as pool:
         await RecordedAttempt(pool).result()
 
@@ -92,7 +92,7 @@
 @runs_in_loop
 async def test_reply_in_pieces_leaves_its_connection_usable(reply: bytes) -> None:
     async def script(_command: list[bytes]) -> ScriptedReply:
-        (writer,) = backend.open
+        (writer,) = backend.open_connections
         for byte in reply:
             writer.write(bytes([byte]))
             await writer.drain()
@@ -105,7 +105,7 @@
             await RecordedAttempt(pool).result()
             await wait_for_reuse_delay(pool)
 
-        assert backend.accepted == 1
+        assert backend.accepted_count == 1
 
 
 @runs_in_loop
@@ -113,13 +113,13 @@
     """A second reply or noise may arrive after the first reply was read."""
     async with open_idle_connection() as (backend, pool, connection):
         stop_polling(connection)
-        (writer,) = backend.open
+        (writer,) = backend.open_connections
         writer.write(served_reply(b"other"))
         await wait_until(lambda: not connection.is_alive())
         await wait_for_reuse_delay(pool)
 
         assert await RecordedAttempt(pool).result() == (Outcome.OK, b"value")
-        assert backend.accepted == 2
+        assert backend.accepted_count == 2
 
 
 @runs_in_loop
@@ -129,7 +129,7 @@
         connection.idle_since = now_ms() + 60_000
 
         assert await RecordedAttempt(pool).result() == (Outcome.OK, b"value")
-        assert backend.accepted == 2
+        assert backend.accepted_count == 2
 
 
 @runs_in_loop
@@ -140,7 +140,7 @@
     used: set[asyncio.StreamWriter] = set()
 
     async def script(_command: list[bytes]) -> ScriptedReply:
-        (writer,) = backend.open - used
+        (writer,) = backend.open_connections - used
         used.add(writer)
         writer.write(b"*3\r\n$400000\r\n" + value[1:])
         await may_finish.wait()
@@ -163,7 +163,7 @@
 async def test_malformed_replies_of_a_sweep_interval_are_logged_in_one_line(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    backend = scripted(b"+OK\r\n")
+    backend = backend_with_fixed_reply(b"+OK\r\n")
     async with open_pool(backend) as pool:
         for _ in range(3):
             await RecordedAttempt(pool).result()
--- a/tests/network/backends/test_idle_loss.py
+++ b/tests/network/backends/test_idle_loss.py
@@ -18,8 +18,8 @@
     used: set[asyncio.StreamWriter] = set()
 
     async def reply_once_per_connection(_command: list[bytes]) -> ScriptedReply:
-        is_reused = bool(backend.open & used)
-        used.update(backend.open)
+        is_reused = bool(backend.open_connections & used)
+        used.update(backend.open_connections)
         return b"" if is_reused else VALUE_REPLY
 
     backend = FakeBackend(reply_once_per_connection)
--- a/tests/network/clients/test_client_connection.py
+++ b/tests/network/clients/test_client_connection.py
@@ -117,7 +117,7 @@
 
         peer.close()
 
-        await wait_until(lambda: backend.ended)
+        await wait_until(lambda: backend.closed_by_gateway_count)
         # The id is free again: the request is not open any more.
         backend.script = backend.serve
         assert await harness.request(await harness.client()) == b"value"
--- a/tests/network/clients/test_client_endings.py
+++ b/tests/network/clients/test_client_endings.py
@@ -13,7 +13,7 @@
 from gateway.network.clients.command_reader import MAX_READ_AHEAD_BYTES, RECEIVE_BUFFER_BYTES
 from gateway.network.clients.reply_queue import MAX_PENDING_REPLIES
 from gateway.network.codecs.resp_commands import COMPACTION_THRESHOLD_BYTES
-from tests.support.clients import as_peer, connect, connect_at_once, running_listener
+from tests.support.clients import connect, connect_blocking, peer_from_socket, running_listener
 from tests.support.event_loop import runs_in_loop, wait_until
 from tests.support.manual_server import reset
 from tests.support.request_commands import pipelined_requests
@@ -29,16 +29,16 @@
         request_count = MAX_PENDING_REPLIES * (1 if behind else 3)
         ids = [b"%04d" % number for number in range(request_count)]
         peer.writer.write(pipelined_requests(ids) + behind)
-        await wait_until(lambda: len(handler.pending) == MAX_PENDING_REPLIES)
+        await wait_until(lambda: len(handler.pending_replies) == MAX_PENDING_REPLIES)
 
         peer.close()
         await wait_until(lambda: not listener.connections)
 
-        assert sorted(handler.disconnected) == sorted(handler.pending)
-        for pending_reply in list(handler.pending.values()):
+        assert sorted(handler.disconnected) == sorted(handler.pending_replies)
+        for pending_reply in list(handler.pending_replies.values()):
             pending_reply.complete(b"+late\r\n")
         # What was read ahead is not processed any more.
-        assert len(handler.pending) == MAX_PENDING_REPLIES
+        assert len(handler.pending_replies) == MAX_PENDING_REPLIES
 
 
 def send_backlog_and_close(port: int, byte_count: int) -> None:
@@ -61,10 +61,10 @@
     async with running_listener(memory_bytes=16 * 2**20) as (listener, handler, port):
         send_backlog_and_close(port, 4 * MAX_READ_AHEAD_BYTES)
         async with asyncio.timeout(5):
-            await wait_until(lambda: handler.pending and not listener.connections)
+            await wait_until(lambda: handler.pending_replies and not listener.connections)
 
-        assert sorted(handler.disconnected) == sorted(handler.pending)
-        assert len(handler.pending) == MAX_PENDING_REPLIES
+        assert sorted(handler.disconnected) == sorted(handler.pending_replies)
+        assert len(handler.pending_replies) == MAX_PENDING_REPLIES
         assert listener.memory.read_ahead_bytes == 0
 
 
@@ -77,15 +77,15 @@
         ids = [b"%05d" % number for number in range(10_000)]
 
         peer.writer.write(pipelined_requests(ids))
-        await wait_until(lambda: handler.pending and not next(iter(listener.connections)).is_reading)
+        await wait_until(lambda: handler.pending_replies and not next(iter(listener.connections)).is_reading)
 
         (connection,) = listener.connections
         limit = max(MAX_READ_AHEAD_BYTES, listener.memory.max_read_ahead_bytes)
         assert connection.reader.buffered_bytes == listener.memory.read_ahead_bytes
         assert limit < listener.memory.read_ahead_bytes <= limit + RECEIVE_BUFFER_BYTES
         for id in ids:  # all of it is answered once there is capacity
-            await wait_until(lambda id=id: id.decode() in handler.pending)  # type: ignore[misc]
-            handler.pending[id.decode()].complete(encode_command(id))
+            await wait_until(lambda id=id: id.decode() in handler.pending_replies)  # type: ignore[misc]
+            handler.pending_replies[id.decode()].complete(encode_command(id))
         assert [await peer.receive() for _ in ids] == [[id] for id in ids]
         assert listener.memory.read_ahead_bytes == 0
 
@@ -109,7 +109,7 @@
         staying.writer.write(requests_of_staying)
         await wait_until(lambda: len(listener.connections) == 2)
         await wait_until(lambda: not any(connection.is_reading for connection in listener.connections))
-        pending_replies = list(handler.pending.values())
+        pending_replies = list(handler.pending_replies.values())
 
         leaving.close()
 
@@ -139,9 +139,11 @@
 
         handler.immediate_reply = b"-BUSY\r\n"
         (connection,) = listener.connections
-        for pending_reply in list(handler.pending.values()):
+        for pending_reply in list(handler.pending_replies.values()):
             pending_reply.complete(b"-BUSY\r\n")
-        await wait_until(lambda: len(handler.pending) == len(ids) and listener.memory.read_ahead_bytes == 0)
+        await wait_until(
+            lambda: len(handler.pending_replies) == len(ids) and listener.memory.read_ahead_bytes == 0
+        )
 
         allocated_bytes = sys.getsizeof(connection.reader._parser._buffer)
         assert allocated_bytes < 2 * (COMPACTION_THRESHOLD_BYTES + RECEIVE_BUFFER_BYTES)
@@ -180,10 +182,10 @@
     """Also while replies are pending: the protocol has no other way to cancel a request."""
     async with running_listener() as (listener, handler, port):
         unknown_command = encode_command(b"CANCEL", b"waits")
-        client = connect_at_once(
+        client = connect_blocking(
             port, pipelined_requests([b"waits"]) + unknown_command + pipelined_requests([b"too"])
         )
-        await wait_until(lambda: len(handler.pending) == 2)
+        await wait_until(lambda: len(handler.pending_replies) == 2)
         assert not handler.disconnected  # no command ends a request
 
         if ending == "end of sending":
@@ -196,4 +198,4 @@
 
         assert handler.disconnected == ["waits", "too"]
         if ending == "end of sending":
-            assert await (await as_peer(client)).receive() is None
+            assert await (await peer_from_socket(client)).receive() is None
--- a/tests/network/counter/test_counter_client.py
+++ b/tests/network/counter/test_counter_client.py
@@ -69,7 +69,7 @@
         responses = await client.wait_for_responses(3)
 
         assert responses == [("n", Outcome.OK, 1.0), ("n", Outcome.OK, 3.5), ("n", Outcome.OK, 3.0)]
-        assert server.accepted == 1, "calls for one name share a connection"
+        assert server.accepted_count == 1, "calls for one name share a connection"
 
 
 @runs_in_loop
@@ -196,7 +196,7 @@
 
         responses = await client.wait_for_responses(2)
         assert responses[1:] == [("n", Outcome.OK, 5.0)]
-        assert server.accepted == 2
+        assert server.accepted_count == 2
 
 
 @runs_in_loop
@@ -220,7 +220,7 @@
 
         responses = await client.wait_for_responses(3)
         assert responses[2:] == [("next", Outcome.OK, 7.0)]
-        assert server.accepted == 2
+        assert server.accepted_count == 2
 
 
 @runs_in_loop
--- a/tests/network/discovery/test_delivery.py
+++ b/tests/network/discovery/test_delivery.py
@@ -14,7 +14,7 @@
 from gateway.policy import GatewayPolicy
 from gateway.policy.events import EndpointUpdate, UpdateKind
 from tests.support.event_loop import runs_in_loop
-from tests.support.fake_services import endpoint_entry, list_message
+from tests.support.fake_services import endpoint_entry, endpoint_list_message
 from tests.support.policy_settings import settings
 from tests.support.watch_harness import WatchHarness, open_watch
 
@@ -32,7 +32,7 @@
 
 def long_list(version: int) -> dict[str, Any]:
     entries = [endpoint_entry(f"h{number}", 1) for number in range(LIST_LENGTH)]
-    return list_message(version, *entries)
+    return endpoint_list_message(version, *entries)
 
 
 @pytest.mark.parametrize("order", [["seq", "whole", "hosts"], ["hosts", "whole", "seq"]])
@@ -53,9 +53,9 @@
 
         watch.listener = record_part
         message = long_list(7)
-        watch.service.snapshot = {name: message[name] for name in order}
+        watch.discovery.snapshot = {name: message[name] for name in order}
 
-        while not watch.client.snapshot_received.is_set():
+        while not watch.watcher.snapshot_received.is_set():
             await asyncio.sleep(0)
             turn += 1
 
@@ -80,7 +80,7 @@
         watch.listener = count_endpoints
 
         for number in range(LIST_LENGTH):
-            watch.service.send_update(42 + number, endpoint_entry(f"h{number}", 1))
+            watch.discovery.send_update(42 + number, endpoint_entry(f"h{number}", 1))
         while endpoints_by_turn.total() < LIST_LENGTH:
             await asyncio.sleep(0)
             turn += 1
@@ -105,9 +105,9 @@
         watch.listener = apply
         broken = long_list(43)
         broken["hosts"][-1] = {"host": "h"}
-        watch.service.snapshot = list_message(44, endpoint_entry("good", 1))
+        watch.discovery.snapshot = endpoint_list_message(44, endpoint_entry("good", 1))
 
-        watch.service.send_line(json.dumps(broken).encode())
+        watch.discovery.send_line(json.dumps(broken).encode())
         await watch.wait_for_watches(2)
 
         assert len(last_flags) > 2
--- a/tests/network/discovery/test_endpoint_endings.py
+++ b/tests/network/discovery/test_endpoint_endings.py
@@ -17,7 +17,7 @@
     FakeDiscovery,
     PausedDiscovery,
     endpoint_entry,
-    list_message,
+    endpoint_list_message,
     running_servers,
 )
 from tests.support.gateway_harness import QUICK_SHUTDOWN, GatewayHarness, running_gateway
@@ -42,14 +42,14 @@
     """What the agent has at its return counts as notified at once: a lost call must not delay it."""
     monkeypatch.setattr("gateway.network.discovery.stream.HEARTBEAT_TIMEOUT_S", 3600.0)
     agent = PausedDiscovery()
-    async with WatchHarness(service=agent, reopen_after_s=0.01) as watch:
-        await wait_until(lambda: agent.calls > MAX_UNANSWERED_CALLS)
-        assert len(agent.open) <= MAX_UNANSWERED_CALLS + 1, "their number is bounded"
+    async with WatchHarness(discovery=agent, reopen_after_s=0.01) as watch:
+        await wait_until(lambda: agent.call_count > MAX_UNANSWERED_CALLS)
+        assert len(agent.open_connections) <= MAX_UNANSWERED_CALLS + 1, "their number is bounded"
 
         agent.resumed.set()
-        await wait_until(lambda: len(agent.open) == 1)  # all others are closed
+        await wait_until(lambda: len(agent.open_connections) == 1)  # all others are closed
 
-        agent.watches = [writer for writer in agent.watches if writer in agent.open]
+        agent.watches = [writer for writer in agent.watches if writer in agent.open_connections]
         agent.send_update(42, endpoint_entry("h0", 1, "draining"))
         await watch.wait_for_updates(1)
 
@@ -65,7 +65,7 @@
     harness.discovery = agent
 
     async def resume_agent() -> None:
-        await wait_until(lambda: agent.calls)
+        await wait_until(lambda: agent.call_count)
         assert not harness.port, "no client may connect yet"
         first, second = harness.hosts()
         agent.snapshot["hosts"] = [{**first, "health": "draining"}, second]
@@ -114,21 +114,21 @@
 @runs_in_loop
 async def test_move_to_an_unresponsive_address_keeps_the_old_watch() -> None:
     """A drain that arrives there meanwhile counts as notified."""
-    async with open_watch(service=FakeDiscovery(), reopen_after_s=0.01) as watch:
+    async with open_watch(discovery=FakeDiscovery(), reopen_after_s=0.01) as watch:
         new_discovery = PausedDiscovery()
         await new_discovery.start()
 
-        watch.client.move_to(new_discovery.address)
-        await wait_until(lambda: new_discovery.calls)
-        watch.service.send_update(42, endpoint_entry("h0", 1, "draining"))
+        watch.watcher.move_to(new_discovery.address)
+        await wait_until(lambda: new_discovery.call_count)
+        watch.discovery.send_update(42, endpoint_entry("h0", 1, "draining"))
         await watch.wait_for_updates(1)
         assert watch.updates == [delta(h0=EndpointState.DRAINING)]
 
-        new_discovery.snapshot = list_message(7, endpoint_entry("h1", 1))
+        new_discovery.snapshot = endpoint_list_message(7, endpoint_entry("h1", 1))
         new_discovery.resumed.set()
         await wait_until(lambda: new_discovery.watches)
-        assert new_discovery.requests[-1] == watch_target(7)
-        await wait_until(lambda: not watch.service.open)
+        assert new_discovery.request_targets[-1] == watch_target(7)
+        await wait_until(lambda: not watch.discovery.open_connections)
         await new_discovery.stop()
 
 
@@ -139,11 +139,11 @@
 @runs_in_loop
 async def test_watch_event_may_span_several_lines(indent: int | None) -> None:
     service = FakeDiscovery()
-    service.snapshot = list_message(7, endpoint_entry("h0", 1))
+    service.snapshot = endpoint_list_message(7, endpoint_entry("h0", 1))
     service.indent = indent
-    async with open_watch(version=None, service=service) as watch:
+    async with open_watch(version=None, discovery=service) as watch:
         entries = [endpoint_entry("h0", 1, "draining"), endpoint_entry("h1", 2)]
-        change = list_message(8, *entries, is_snapshot=False)
+        change = endpoint_list_message(8, *entries, is_snapshot=False)
 
         service.send_line(b"")
         for line in json.dumps(change, indent=indent).encode().split(b"\n"):
@@ -152,18 +152,18 @@
         await watch.wait_for_updates(2)
 
         assert [len(update.states) for update in watch.updates] == [1, 2]
-        assert len(service.requests) == 2
+        assert len(service.request_targets) == 2
 
 
 @pytest.mark.parametrize("following_line", [b"", b'{"seq":43,"whole":false,"hosts":[]}'])
 @runs_in_loop
 async def test_truncated_watch_event_does_not_swallow_later_ones(following_line: bytes) -> None:
     async with open_watch(version=41) as watch:
-        watch.service.snapshot = list_message(44, endpoint_entry("h1", 1))
+        watch.discovery.snapshot = endpoint_list_message(44, endpoint_entry("h1", 1))
 
-        watch.service.send_line(b'{"seq":42,"whole":false,"hosts":[{"host":')
-        watch.service.send_line(following_line)
+        watch.discovery.send_line(b'{"seq":42,"whole":false,"hosts":[{"host":')
+        watch.discovery.send_line(following_line)
         await watch.wait_for_watches(2)
 
-        assert watch.service.requests[1:] == [LIST_TARGET, watch_target(44)]
+        assert watch.discovery.request_targets[1:] == [LIST_TARGET, watch_target(44)]
         assert watch.updates == [snapshot(h1=EndpointState.READY)]
--- a/tests/network/discovery/test_endpoint_watch.py
+++ b/tests/network/discovery/test_endpoint_watch.py
@@ -14,7 +14,7 @@
 from gateway.network.discovery.endpoint_list import ListedEndpoint
 from gateway.policy.events import EndpointState, UpdateKind
 from tests.support.event_loop import runs_in_loop, wait_until
-from tests.support.fake_services import FakeBackend, FakeDiscovery, endpoint_entry, list_message
+from tests.support.fake_services import FakeBackend, FakeDiscovery, endpoint_entry, endpoint_list_message
 from tests.support.gateway_harness import GatewayHarness, running_gateway
 from tests.support.resp_peer import LOCAL
 from tests.support.watch_harness import (
@@ -32,31 +32,31 @@
 @runs_in_loop
 async def test_deltas_are_followed_from_the_known_version_on() -> None:
     async with open_watch(version=41) as watch:
-        watch.service.send_line(b"")
-        watch.service.send_update(42, endpoint_entry("h0", 1, "draining"))
-        watch.service.send_update(43, endpoint_entry("h1", 1), is_snapshot=True)
+        watch.discovery.send_line(b"")
+        watch.discovery.send_update(42, endpoint_entry("h0", 1, "draining"))
+        watch.discovery.send_update(43, endpoint_entry("h1", 1), is_snapshot=True)
         await watch.wait_for_updates(2)
 
-        assert watch.service.requests == [watch_target(41)]
+        assert watch.discovery.request_targets == [watch_target(41)]
         assert watch.updates == [delta(h0=EndpointState.DRAINING), snapshot(h1=EndpointState.READY)]
 
 
 @runs_in_loop
 async def test_snapshot_is_read_first_without_a_known_version() -> None:
     service = FakeDiscovery()
-    service.snapshot = list_message(7, endpoint_entry("h0", 1))
-    async with open_watch(version=None, service=service) as watch:
-        assert service.requests == [LIST_TARGET, watch_target(7)]
+    service.snapshot = endpoint_list_message(7, endpoint_entry("h0", 1))
+    async with open_watch(version=None, discovery=service) as watch:
+        assert service.request_targets == [LIST_TARGET, watch_target(7)]
         assert watch.updates == [snapshot(h0=EndpointState.READY)]
 
 
 @runs_in_loop
 async def test_malformed_delta_is_followed_by_a_snapshot() -> None:
     async with open_watch() as watch:
-        watch.service.send_update(42, {"host": "h0"})
+        watch.discovery.send_update(42, {"host": "h0"})
         await watch.wait_for_watches(2)
 
-        assert watch.service.requests[1] == LIST_TARGET
+        assert watch.discovery.request_targets[1] == LIST_TARGET
         assert [update.kind for update in watch.updates] == [UpdateKind.SNAPSHOT]
 
 
@@ -73,9 +73,9 @@
             watch.record(kind, endpoints, is_first, is_last)
 
         watch.listener = fail_once
-        watch.service.snapshot = list_message(43, endpoint_entry("h1", 1))
+        watch.discovery.snapshot = endpoint_list_message(43, endpoint_entry("h1", 1))
 
-        watch.service.send_update(42, endpoint_entry("h0", 1))
+        watch.discovery.send_update(42, endpoint_entry("h0", 1))
         await watch.wait_for_watches(2)
 
         assert watch.updates == [snapshot(h1=EndpointState.READY)]
@@ -87,24 +87,24 @@
 @runs_in_loop
 async def test_closed_watch_is_reopened_at_the_last_version() -> None:
     async with open_watch() as watch:
-        watch.service.send_update(50, endpoint_entry("h0", 1))
+        watch.discovery.send_update(50, endpoint_entry("h0", 1))
         await watch.wait_for_updates(1)
 
-        watch.service.close_connections()
+        watch.discovery.close_connections()
         await watch.wait_for_watches(2)
 
-        assert watch.service.requests[-1] == watch_target(50)
+        assert watch.discovery.request_targets[-1] == watch_target(50)
 
 
 @runs_in_loop
 async def test_end_of_a_watch_is_logged_with_peer_and_consequence(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level(logging.INFO)
     async with open_watch() as watch:
-        watch.service.close_connections()
+        watch.discovery.close_connections()
         await watch.wait_for_watches(2)
 
         pattern = (
-            rf"discovery watch at {LOCAL}:{watch.service.port} failed "
+            rf"discovery watch at {LOCAL}:{watch.discovery.port} failed "
             r"\(RemoteProtocolError: peer closed connection .*\) "
             r"after \d+\.\d s; reopening in 0\.1 s"
         )
@@ -124,7 +124,7 @@
 
     async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        self.requests.append("rejected")
+        self.request_targets.append("rejected")
         writer.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 
 
@@ -146,10 +146,10 @@
 async def test_overloaded_discovery_is_called_again_after_the_backoff_only() -> None:
     """A fleet that polls again at a fixed interval prolongs the overload of discovery."""
     backoff = RecordingBackoff()
-    async with WatchHarness(service=OverloadedDiscovery(), backoff=backoff) as watch:
+    async with WatchHarness(discovery=OverloadedDiscovery(), backoff=backoff) as watch:
         await wait_until(lambda: len(backoff.delays) == 3)
 
-        assert watch.service.requests == ["rejected"] * 3
+        assert watch.discovery.request_targets == ["rejected"] * 3
         assert backoff.delays[0] >= 0.5, "the first delay grows with the fleet"
         assert backoff.delays[2] > backoff.delays[0], "each rejection doubles the delay"
 
@@ -158,10 +158,10 @@
 async def test_rejection_is_logged_with_peer_status_and_delay(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level(logging.INFO)
     backoff = RecordingBackoff()
-    async with WatchHarness(service=OverloadedDiscovery(), backoff=backoff) as watch:
+    async with WatchHarness(discovery=OverloadedDiscovery(), backoff=backoff) as watch:
         await wait_until(lambda: len(backoff.delays) == 3)
 
-        peer = f"{LOCAL}:{watch.service.port}"
+        peer = f"{LOCAL}:{watch.discovery.port}"
         pattern = (
             rf"discovery watch at {peer} rejected as overloaded "
             rf"\(DiscoveryOverloadedError: discovery at {peer} shed the call with HTTP status 503\) "
@@ -183,31 +183,31 @@
 
 async def check_move(watch: WatchHarness, new_host: str) -> None:
     """Move a watch to a new discovery that lists one host, and close the old discovery."""
-    old_discovery = watch.service
+    old_discovery = watch.discovery
     new_discovery = FakeDiscovery()
-    new_discovery.snapshot = list_message(7, endpoint_entry(new_host, 1))
+    new_discovery.snapshot = endpoint_list_message(7, endpoint_entry(new_host, 1))
     await new_discovery.start()
 
-    watch.client.move_to(new_discovery.address)
-    watch.service = new_discovery
+    watch.watcher.move_to(new_discovery.address)
+    watch.discovery = new_discovery
     await watch.wait_for_watches(1)
 
-    assert new_discovery.requests == [LIST_TARGET, watch_target(7)]
+    assert new_discovery.request_targets == [LIST_TARGET, watch_target(7)]
     assert watch.updates[-1] == snapshot(**{new_host: EndpointState.READY})
-    await wait_until(lambda: not old_discovery.open)
+    await wait_until(lambda: not old_discovery.open_connections)
     await old_discovery.stop()
 
 
 @runs_in_loop
 async def test_move_does_not_wait_for_the_next_reopening() -> None:
     async with open_watch(reopen_after_s=3600.0) as watch:
-        watch.service.close_connections()
-        await wait_until(lambda: not watch.service.open)
+        watch.discovery.close_connections()
+        await wait_until(lambda: not watch.discovery.open_connections)
 
-        watch.client.move_to(watch.service.address)
+        watch.watcher.move_to(watch.discovery.address)
         await watch.wait_for_watches(2)
 
-        assert watch.service.requests[1:] == [LIST_TARGET, watch_target(1)]
+        assert watch.discovery.request_targets[1:] == [LIST_TARGET, watch_target(1)]
 
 
 # ---- a gateway and its endpoint list ----
@@ -224,7 +224,8 @@
 
         draining = endpoint_entry("h0", first.port, "draining")
         harness.discovery.send_update(42, draining, endpoint_entry("h9", second.port))
-        await wait_until(lambda: first.ended)  # the idle connection closes as the delta is applied
+        # The idle connection closes as the delta is applied.
+        await wait_until(lambda: first.closed_by_gateway_count)
         for number in range(3):
             assert await harness.request(peer, id=b"%d" % number) == b"value"
 
--- a/tests/network/discovery/test_notification_bound.py
+++ b/tests/network/discovery/test_notification_bound.py
@@ -15,8 +15,8 @@
 from gateway.network.discovery.endpoint_list import ListedEndpoint
 from gateway.network.discovery.watch import EndpointWatcher
 from gateway.policy.events import EndpointState, UpdateKind
-from tests.support.fake_services import FakeDiscovery, endpoint_entry, list_message
-from tests.support.virtual_time import in_virtual_time
+from tests.support.fake_services import FakeDiscovery, endpoint_entry, endpoint_list_message
+from tests.support.virtual_time import run_in_virtual_time
 from tests.support.watch_harness import WatchHarness
 
 GATEWAY_COUNT = 200
@@ -60,7 +60,7 @@
 
     def add_drain(self) -> float:
         """Add a drain to the list, and return the time."""
-        self.snapshot = list_message(42, endpoint_entry("h0", 1, "draining"))
+        self.snapshot = endpoint_list_message(42, endpoint_entry("h0", 1, "draining"))
         return asyncio.get_running_loop().time()
 
     async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -208,10 +208,10 @@
 
     discovery = FaultyDiscovery(POLLED_RESPONSE_S if is_polled else 0.0)
     backoff = Backoff(GATEWAY_COUNT, 10.0, random.Random(seed))
-    async with WatchHarness(service=discovery, backoff=backoff, is_polled=is_polled) as watch:
+    async with WatchHarness(discovery=discovery, backoff=backoff, is_polled=is_polled) as watch:
         watch.listener = detect_drain
         await discovery.heartbeat_sent.wait()
-        drained_at = await fault(discovery, watch.client)
+        drained_at = await fault(discovery, watch.watcher)
         await drain_delivered.wait()
         return asyncio.get_running_loop().time() - drained_at
 
@@ -226,7 +226,7 @@
         delays.append(await notification_delay(fault, seed, is_polled=is_polled))
 
     for seed in SEEDS:
-        in_virtual_time(partial(scenario, seed))
+        run_in_virtual_time(partial(scenario, seed))
 
     print(f"{fault.__name__}: {max(delays):.2f} s")
     assert len(delays) == len(SEEDS)
--- a/tests/network/process/test_descriptor_budget.py
+++ b/tests/network/process/test_descriptor_budget.py
@@ -16,7 +16,12 @@
 from tests.support.event_loop import run_in_loop, wait_until
 from tests.support.fake_services import FakeBackend, FakeDiscovery, ScriptedReply, endpoint_entry
 from tests.support.gateway_harness import SETTINGS, GatewayHarness
-from tests.support.gateway_process import connect, launched, port_of, reserve_port
+from tests.support.gateway_process import (
+    connect_when_listening,
+    port_of,
+    reserve_port,
+    running_gateway_process,
+)
 from tests.support.request_commands import request_command
 from tests.support.resp_peer import LOCAL, RespPeer
 
@@ -113,20 +118,20 @@
     """The program with `limit` descriptors by its configuration and its system; gives its port."""
     command = ("/bin/sh", "-c", f'ulimit -n {limit} && exec "{sys.executable}" -m gateway')
     with (folder / "log").open("wb") as log:
-        async with launched(harness, folder, command=command, stderr=log) as gateway:
+        async with running_gateway_process(harness, folder, command=command, stderr=log) as gateway:
             yield gateway.port
 
 
 async def request_until_served(port: int, *commands: tuple[bytes, ...]) -> None:
     """Send requests until each is served, reconnecting where the connection is closed without a reply."""
-    peer = await connect(port)
+    peer = await connect_when_listening(port)
     for command in commands:
         while True:
             peer.send(*command)
             if (reply := await peer.receive()) is not None:
                 break
             peer.close()
-            peer = await connect(port)
+            peer = await connect_when_listening(port)
         assert reply == b"value"
     peer.close()
 
@@ -167,9 +172,9 @@
         discovery = harness.discovery = UnavailableDiscovery(accepts_calls=accepts_calls)
         harness.hosts = lambda: [endpoint_entry("h0", old.port)]  # type: ignore[method-assign]
         async with launched_with_descriptors(harness, tmp_path, limit) as port:
-            hung = [await connect(port) for _ in range(budget.backend_connections - 1)]
+            hung = [await connect_when_listening(port) for _ in range(budget.backend_connections - 1)]
             await hang(hung, old)
-            counter_connections = harness.counter.accepted
+            counter_connections = harness.counter.accepted_count
             async with idle_clients(port, 2 * budget.client_connections) as idle:
                 # More connections were closed than there are clients: the clients' share is exhausted.
                 await wait_until(lambda: idle.closed_connections > 2 * budget.client_connections)
@@ -187,7 +192,7 @@
                 await wait_until(
                     lambda: len({command[1] for command in harness.counter.received}) >= customers_counted
                 )
-                assert harness.counter.accepted > counter_connections
+                assert harness.counter.accepted_count > counter_connections
                 assert "Too many open files" not in (tmp_path / "log").read_text()
             for peer in hung:
                 peer.close()
--- a/tests/network/process/test_gateway_process.py
+++ b/tests/network/process/test_gateway_process.py
@@ -14,7 +14,13 @@
 from tests.support.event_loop import run_in_loop, wait_until
 from tests.support.fake_services import FakeBackend, ScriptedReply
 from tests.support.gateway_harness import GatewayHarness
-from tests.support.gateway_process import COMMAND, ROOT, connect, environment, launched
+from tests.support.gateway_process import (
+    GATEWAY_COMMAND,
+    ROOT,
+    connect_when_listening,
+    gateway_environment,
+    running_gateway_process,
+)
 from tests.support.invalid_configurations import INVALID_CONFIGURATIONS
 from tests.support.request_commands import request_command
 from tests.support.resp_peer import LOCAL
@@ -32,16 +38,16 @@
 
 
 def run_to_end(env: dict[str, str]) -> subprocess.CompletedProcess[str]:
-    return subprocess.run(COMMAND, cwd=ROOT, env=env, capture_output=True, text=True, timeout=30)
+    return subprocess.run(GATEWAY_COMMAND, cwd=ROOT, env=env, capture_output=True, text=True, timeout=30)
 
 
 def test_sigterm_completes_open_requests_and_exits_with_0(tmp_path: Path) -> None:
     async def scenario() -> None:
         script = ReleasableScript()
         backend = FakeBackend(script)
-        async with launched(GatewayHarness(backend), tmp_path) as gateway:
-            peer = await connect(gateway.port)
-            idle = await connect(gateway.port)
+        async with running_gateway_process(GatewayHarness(backend), tmp_path) as gateway:
+            peer = await connect_when_listening(gateway.port)
+            idle = await connect_when_listening(gateway.port)
             peer.send(b"PING")
             assert await peer.receive() == b"PONG"
             # A request that is not idempotent stays in flight until its deadline.
@@ -50,7 +56,8 @@
 
             gateway.process.send_signal(signal.SIGTERM)
 
-            late = await connect(gateway.port)  # new connections arrive for a while after SIGTERM
+            # New connections arrive for a while after SIGTERM.
+            late = await connect_when_listening(gateway.port)
             late.send(b"PING")
             assert await late.receive() == b"PONG"
             assert gateway.process.returncode is None
@@ -71,10 +78,10 @@
         old_harness = GatewayHarness(old_backend)
         new_harness = GatewayHarness(new_backend)
         new_servers = [new_backend, new_harness.counter, new_harness.discovery]
-        async with launched(old_harness, tmp_path, *new_servers) as gateway:
+        async with running_gateway_process(old_harness, tmp_path, *new_servers) as gateway:
             new_harness.discovery.snapshot = {"seq": 3, "whole": True, "hosts": new_harness.hosts()}
-            first = await connect(gateway.port)
-            second = await connect(gateway.port)
+            first = await connect_when_listening(gateway.port)
+            second = await connect_when_listening(gateway.port)
             # A request that is not idempotent stays in flight until its deadline.
             first.send(*request_command(request_class=b"wipe", plan=b"basic"))
             await wait_until(lambda: old_backend.received)
@@ -93,7 +100,7 @@
             second.send(*request_command(b"second", request_class=b"wipe"))
             assert await second.receive() == b"value"
             assert len(new_backend.received) == 1
-            third = await connect(gateway.port)  # the listening address does not change
+            third = await connect_when_listening(gateway.port)  # the listening address does not change
             third.send(*request_command(b"third", plan=b"basic", customer=b"00000000b4d65522"))
             assert await third.receive() == b"value"
             await wait_until(lambda: new_harness.counter.received)
@@ -112,7 +119,7 @@
     config = tmp_path / "config.json"
     config.write_text(text, errors="surrogateescape")
 
-    result = run_to_end(environment(config))
+    result = run_to_end(gateway_environment(config))
 
     assert result.returncode == 2
     assert result.stderr.count("\n") == 1
--- a/tests/network/process/test_process_endings.py
+++ b/tests/network/process/test_process_endings.py
@@ -6,7 +6,7 @@
 
 from gateway.network.clients import listener as client_listener
 from gateway.network.process.shutdown_schedule import ShutdownSchedule
-from tests.support.clients import as_peer, connect, connect_at_once, running_listener
+from tests.support.clients import connect, connect_blocking, peer_from_socket, running_listener
 from tests.support.event_loop import run_in_loop, wait_until
 from tests.support.fake_services import FakeBackend, ScriptedReply
 from tests.support.gateway_harness import GatewayHarness, running_gateway
@@ -20,16 +20,16 @@
     async def scenario() -> None:
         async with running_listener() as (listener, handler, port):
             ids = [b"%03d" % number for number in range(2 * client_listener.ACCEPTS_PER_TURN)]
-            clients = [connect_at_once(port, encode_command(*request_command(id))) for id in ids]
+            clients = [connect_blocking(port, encode_command(*request_command(id))) for id in ids]
             assert not listener.connections
 
             listener.begin_shutdown()
-            await wait_until(lambda: len(handler.pending) == len(ids))
-            for request_id, reply in handler.pending.items():
+            await wait_until(lambda: len(handler.pending_replies) == len(ids))
+            for request_id, reply in handler.pending_replies.items():
                 reply.complete(encode_command(request_id.encode()))
 
             for id, client in zip(ids, clients, strict=True):
-                peer = await as_peer(client)
+                peer = await peer_from_socket(client)
                 assert await peer.receive() == [id]
                 assert await peer.receive() is None  # and then it is closed
             await listener.all_closed.wait()
@@ -40,17 +40,17 @@
 def test_connection_accepted_last_may_still_send_its_request() -> None:
     async def scenario() -> None:
         async with running_listener() as (listener, handler, port):
-            late = connect_at_once(port)
-            idle = connect_at_once(port)
+            late = connect_blocking(port)
+            idle = connect_blocking(port)
 
             listener.begin_shutdown()
             assert len(listener.connections) == 2
             late.sendall(encode_command(*request_command(b"late")))
-            await wait_until(lambda: "late" in handler.pending)
-            handler.pending["late"].complete(encode_command(b"yes"))
+            await wait_until(lambda: "late" in handler.pending_replies)
+            handler.pending_replies["late"].complete(encode_command(b"yes"))
 
-            assert await (await as_peer(late)).receive() == [b"yes"]
-            assert await (await as_peer(idle)).receive() is None
+            assert await (await peer_from_socket(late)).receive() == [b"yes"]
+            assert await (await peer_from_socket(idle)).receive() is None
 
     run_in_loop(scenario)
 
@@ -70,11 +70,11 @@
 
             listener.begin_shutdown()
             if ahead:
-                handler.pending["first"].complete(encode_command(b"yes"))
+                handler.pending_replies["first"].complete(encode_command(b"yes"))
                 assert await peer.receive() == [b"yes"]
             peer.writer.write(command[-20:])
-            await wait_until(lambda: "second" in handler.pending)
-            handler.pending["second"].complete(encode_command(b"too"))
+            await wait_until(lambda: "second" in handler.pending_replies)
+            handler.pending_replies["second"].complete(encode_command(b"too"))
 
             assert await peer.receive() == [b"too"]
             assert await peer.receive() is None
@@ -85,17 +85,17 @@
 def test_request_that_crosses_the_previous_reply_is_accepted() -> None:
     async def scenario() -> None:
         async with running_listener() as (listener, handler, port):
-            client = connect_at_once(port, encode_command(*request_command(b"first")))
-            await wait_until(lambda: handler.pending)
+            client = connect_blocking(port, encode_command(*request_command(b"first")))
+            await wait_until(lambda: handler.pending_replies)
             listener.begin_shutdown()
 
             # The kernel has received it when the reply to the first one is sent.
             client.sendall(encode_command(*request_command(b"second")))
-            handler.pending["first"].complete(encode_command(b"yes"))
-            assert "second" in handler.pending
-            handler.pending["second"].complete(encode_command(b"too"))
+            handler.pending_replies["first"].complete(encode_command(b"yes"))
+            assert "second" in handler.pending_replies
+            handler.pending_replies["second"].complete(encode_command(b"too"))
 
-            peer = await as_peer(client)
+            peer = await peer_from_socket(client)
             assert [await peer.receive() for _ in range(3)] == [[b"yes"], [b"too"], None]
 
     run_in_loop(scenario)
@@ -133,12 +133,12 @@
     async def scenario() -> None:
         async with running_listener() as (listener, handler, port):
             handler.immediate_reply = b"-BUSY\r\n"
-            client = connect_at_once(port)
+            client = connect_blocking(port)
             await wait_until(lambda: listener.connections)
 
             client.sendall(encode_command(*request_command(b"first")))
             listener.close()
 
-            assert str(await (await as_peer(client)).receive()) == "BUSY"
+            assert str(await (await peer_from_socket(client)).receive()) == "BUSY"
 
     run_in_loop(scenario)
--- a/tests/network/process/test_reload.py
+++ b/tests/network/process/test_reload.py
@@ -24,12 +24,12 @@
 
     async def scenario() -> None:
         async with WatchHarness() as watch:
-            address = watch.client.address
+            address = watch.watcher.address
 
-            reload_addresses(lambda: load_config(str(config)), watch.client, None)
+            reload_addresses(lambda: load_config(str(config)), watch.watcher, None)
 
-            assert watch.client.address == address
-            assert watch.client.version == 41
+            assert watch.watcher.address == address
+            assert watch.watcher.version == 41
 
     run_in_loop(scenario)
     assert len(caplog.records) == 1
@@ -45,12 +45,12 @@
 
     async def scenario() -> None:
         async with WatchHarness() as watch:
-            old_address = watch.client.address
+            old_address = watch.watcher.address
             for discovery_address in (old_address, "127.0.0.1:1"):
                 addresses = {"listen": "127.0.0.1:0", "discovery": str(discovery_address)}
                 config.write_text(json.dumps({**addresses, "settings": {}}))
 
-                reload_addresses(lambda: load_config(str(config)), watch.client, None)
+                reload_addresses(lambda: load_config(str(config)), watch.watcher, None)
 
             messages = [record.getMessage() for record in caplog.records if record.name == "gateway"]
             assert messages == [
--- a/tests/network/test_dispatcher_endings.py
+++ b/tests/network/test_dispatcher_endings.py
@@ -29,7 +29,7 @@
 )
 from gateway.policy.timers import TimerKind, TimerToken
 from tests.support.backend_harness import wait_for_reuse_delay
-from tests.support.clients import call_between_reads, connect, connect_at_once, running_dispatcher
+from tests.support.clients import call_between_reads, connect, connect_blocking, running_dispatcher
 from tests.support.event_loop import runs_in_loop, wait_until
 from tests.support.fake_services import FakeBackend, FakeCounter, ScriptedReply
 from tests.support.gateway_harness import SETTINGS, GatewayHarness, running_gateway
@@ -83,7 +83,7 @@
         async with running_dispatcher() as (dispatcher, policy, clients, port):
             dispatcher.backends.update(FIRST_BACKEND, listener.getsockname(), EndpointState.READY)
             policy.actions_by_event[RequestArrived] = [StartAttempt("waits", FIRST_BACKEND)]
-            leaving = connect_at_once(port, encode_command(*request_command(b"waits")))
+            leaving = connect_blocking(port, encode_command(*request_command(b"waits")))
             await wait_until(lambda: dispatcher.attempts.in_flight)
 
             leaving.close()
@@ -188,10 +188,10 @@
             return
         for id in self.ids:
             command = encode_command(*request_command(id, remaining_ms=REMAINING_MS))
-            self.clients.append(connect_at_once(port, command))
+            self.clients.append(connect_blocking(port, command))
             await wait_until(lambda: len(dispatcher.requests.open) == len(self.clients))
             if self.trigger is not Trigger.COUNTER_RESPONSE:
-                self.delayed_connections.append(await self.backend.accept_after(1))
+                self.delayed_connections.append(await self.backend.accept_and_receive(1))
         if self.trigger is Trigger.COUNTER_RESPONSE:
             self.delayed_connections.append(await self.counter_server.accept())
             self.delayed_connections[0].setblocking(True)
@@ -211,7 +211,7 @@
         match self.trigger:
             case Trigger.REQUEST:
                 for id in self.ids:
-                    self.clients.append(connect_at_once(port, encode_command(*request_command(id))))
+                    self.clients.append(connect_blocking(port, encode_command(*request_command(id))))
             case Trigger.ATTEMPT_ENDED:
                 for connection in self.delayed_connections:
                     connection.sendall(b"-ERR failed\r\n")
@@ -291,17 +291,17 @@
 @runs_in_loop
 async def test_connection_established_as_its_client_disconnects_is_not_written_to() -> None:
     """The event loop finds both in one turn, the connection first, as it waited behind a full queue."""
-    with full_accept_queue() as (listener, fillers):
+    with full_accept_queue() as (listener, queued_clients):
         async with running_dispatcher() as (dispatcher, policy, clients, port):
             dispatcher.backends.update(FIRST_BACKEND, listener.getsockname(), EndpointState.READY)
             policy.actions_by_event[RequestArrived] = [StartAttempt("waits", FIRST_BACKEND)]
-            leaving = connect_at_once(port, encode_command(*request_command(b"waits")))
+            leaving = connect_blocking(port, encode_command(*request_command(b"waits")))
             await wait_until(lambda: dispatcher.attempts.in_flight)
             (connection,) = dispatcher.backends.connections
             assert not connection.is_connected
 
-            for filler in fillers:
-                filler.close()
+            for client in queued_clients:
+                client.close()
             listener.settimeout(10.0)
             with accept_from(listener, connection.socket) as accepted:
                 leaving.close()
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -11,7 +11,7 @@
 
 from gateway.policy.settings import Plan
 from gateway.policy.shared_bucket import SharedTokenBucket, counter_key
-from tests.support.fleet import Conditions, CountKey, Fleet, FleetEvent, exponential_latency
+from tests.support.fleet import CountKey, Fleet, FleetConditions, FleetEvent, exponential_latency
 from tests.support.fleet_customers import Customer, ReferenceQuota
 
 GATEWAY_COUNT = 40
@@ -26,7 +26,7 @@
         self,
         gateway_count: int,
         customers: list[Customer],
-        conditions: Conditions,
+        conditions: FleetConditions,
         **settings_changes: object,
     ) -> None:
         super().__init__(gateway_count, customers, conditions, **settings_changes)
@@ -91,9 +91,9 @@
 
 def simulate_small_quotas(counter_calls_per_s: float) -> MeteredFleet:
     """Simulate 20 seconds of customers whose quotas are too small to be divided among their gateways."""
-    conditions = Conditions(counter_calls_per_s=counter_calls_per_s, client_retries=2)
+    conditions = FleetConditions(counter_calls_per_s=counter_calls_per_s, max_client_retries=2)
     fleet = MeteredFleet(GATEWAY_COUNT, create_customers(), conditions, max_retry_after_ms=1000.0)
-    fleet.play(20)
+    fleet.run(20)
     return fleet
 
 
@@ -157,7 +157,7 @@
 class FullSizeFleet(MeteredFleet):
     """A fleet of full size that also adds up what the delayed reference pays for the same requests."""
 
-    def __init__(self, customers: list[Customer], conditions: Conditions) -> None:
+    def __init__(self, customers: list[Customer], conditions: FleetConditions) -> None:
         super().__init__(FULL_SIZE_GATEWAY_COUNT, customers, conditions)
         self._delayed_references = {
             customer.name: DelayedReference(customer.plan, self.now) for customer in customers
@@ -204,15 +204,15 @@
 
 def simulate_full_size(counter_calls_per_s: float, seed: int = 3) -> FullSizeFleet:
     """Simulate ten seconds of a fleet without faults whose counter responds late when it is overloaded."""
-    conditions = Conditions(
+    conditions = FleetConditions(
         seed=seed,
         counter_calls_per_s=counter_calls_per_s,
         counter_queue_length=round(counter_calls_per_s / 10),  # the calls that it handles in 100 ms
         counter_timeout_ms=50.0,
-        latency_ms=exponential_latency(150),
+        draw_latency_ms=exponential_latency(150),
     )
     fleet = FullSizeFleet(create_full_size_customers(seed), conditions)
-    fleet.play(10)
+    fleet.run(10)
     return fleet
 
 
@@ -236,11 +236,13 @@
 FREE = Plan("free")
 
 
-def simulate_without_quotas(latency_ms: Callable[[random.Random, int], float]) -> Fleet:
+def simulate_without_quotas(draw_latency_ms: Callable[[random.Random, int], float]) -> Fleet:
     """Simulate 30 seconds of gateways that get six requests a second each."""
     customers = [Customer(f"c{index}", FREE, rate=6.0, gateways=[index]) for index in range(GATEWAY_COUNT)]
-    fleet = Fleet(GATEWAY_COUNT, customers, Conditions(latency_ms=latency_ms), counter_available=False)
-    fleet.play(30)
+    fleet = Fleet(
+        GATEWAY_COUNT, customers, FleetConditions(draw_latency_ms=draw_latency_ms), counter_available=False
+    )
+    fleet.run(30)
     return fleet
 
 
@@ -267,14 +269,14 @@
 def test_idle_time_beyond_a_full_bucket_is_taken_off_the_total_once(request_count: int) -> None:
     """If two gateways both corrected the total, a customer within its quota would be left in debt."""
     customer = Customer("calm", LARGE, 0.2, list(range(30)))
-    fleet = Fleet(GATEWAY_COUNT, [customer], Conditions(seed=3), max_retry_after_ms=1000.0)
+    fleet = Fleet(GATEWAY_COUNT, [customer], FleetConditions(seed=3), max_retry_after_ms=1000.0)
     fleet.send_request(customer)
-    fleet.play(0.1)
+    fleet.run(0.1)
     fleet.stall(6)  # six seconds add nothing to a full bucket
 
     for _ in range(request_count):
         fleet.send_request(customer)
-    fleet.play(0.1)
+    fleet.run(0.1)
 
     bucket = SharedTokenBucket.for_customer(customer.name, LARGE.rate, LARGE.burst)
     period = bucket.period(fleet.now)
--- a/tests/policy/test_lease_refresh.py
+++ b/tests/policy/test_lease_refresh.py
@@ -116,14 +116,14 @@
 
     harness.respond_to_counter(first_call, first_call.amount)
 
-    read_of_previous = harness.log[-1].action
+    read_of_previous = harness.timed_actions[-1].action
     assert isinstance(read_of_previous, IncrementCounter)
     assert read_of_previous.amount == 0
     assert read_of_previous.name != first_call.name
 
     harness.respond_to_counter(read_of_previous, 11.0)  # 8 units accrued in that period
 
-    carry_over = harness.log[-1].action
+    carry_over = harness.timed_actions[-1].action
     assert isinstance(carry_over, IncrementCounter)
     assert carry_over.amount == 3
     assert carry_over.name == first_call.name
--- a/tests/policy/test_load_balancing.py
+++ b/tests/policy/test_load_balancing.py
@@ -174,12 +174,14 @@
     new_backend = 9
     serve_steadily(harness, 400)
     harness.deliver(delta(create_endpoint(new_backend, started_at=harness.now - 100)))
-    log_length = len(harness.log)
+    log_length = len(harness.timed_actions)
 
     harness.end_attempt(only_attempt_in(harness.request()))
     serve_steadily(harness, 50)
 
-    attempts = [action for _, action in harness.log[log_length:] if isinstance(action, StartAttempt)]
+    attempts = [
+        action for _, action in harness.timed_actions[log_length:] if isinstance(action, StartAttempt)
+    ]
     attempts_at_new_backend = [attempt for attempt in attempts if attempt.backend_id == new_backend]
     assert len(attempts_at_new_backend) <= 0.25 * 0.5 * len(attempts)
 
--- a/tests/policy/test_policy.py
+++ b/tests/policy/test_policy.py
@@ -30,7 +30,7 @@
 
     failures = failures_in(harness.actions)
     assert [failure.request_id for failure in failures] == [attempt.request_id]
-    failed_at = [at for at, action in harness.log if action == failures[0]]
+    failed_at = [at for at, action in harness.timed_actions if action == failures[0]]
     assert failed_at[0] <= deadline
     assert harness.end_attempt(attempt, Outcome.TIMED_OUT) == []
 
--- a/tests/policy/test_safety_rules.py
+++ b/tests/policy/test_safety_rules.py
@@ -292,7 +292,7 @@
             elif isinstance(action, IncrementCounter):
                 harness.respond_to_counter(action, number / 100, OUTCOMES[number % 2 * 3])
         harness.pass_time(60)
-    return harness.log
+    return harness.timed_actions
 
 
 DIGEST_SCRIPT = """
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -52,13 +52,13 @@
 def observe(scenario: Scenario, seed: int, draw_work: DrawWork) -> Observation:
     """Play a scenario until its restarted backends are warm; return the window that used most of a budget."""
     fleet = SlowStartFleet(scenario, seed, draw_work)
-    fleet.play(WARM_TIME_S)
+    fleet.run(WARM_TIME_S)
     fleet.restart_backends()
-    counts = fleet.play(scenario.slow_start_ms / MS_PER_S)
+    counts = fleet.run(scenario.slow_start_ms / MS_PER_S)
     observation = Observation(
         hedges=counts[CountKey(FleetEvent.HEDGED)], retries=counts[CountKey(FleetEvent.RETRIED)]
     )
-    for received in fleet.received.values():
+    for received in fleet.received_by_backend.values():
         observe_backend(scenario, received, observation)
     return observation
 
@@ -76,7 +76,7 @@
         while window[0].age_ms <= window_start:
             work_in_window -= window.popleft().work
         # The budget grows from the start of the window to its end; the one at the start is stricter.
-        budget_use = work_in_window / scenario.budget(window_start)
+        budget_use = work_in_window / scenario.work_budget(window_start)
         if budget_use > observation.budget_use:
             observation.budget_use = budget_use
             observation.work = work_in_window
@@ -132,6 +132,6 @@
         overload_multiple=4.0,
     )
 
-    assert scenario.budget(-500.0) == 16 + 2 * 4 + 2
-    assert scenario.budget(0.0) == 16 + 2 * 4 + 2
-    assert scenario.budget(scenario.slow_start_ms) == pytest.approx(80 + 2 * math.sqrt(80) + 2)
+    assert scenario.work_budget(-500.0) == 16 + 2 * 4 + 2
+    assert scenario.work_budget(0.0) == 16 + 2 * 4 + 2
+    assert scenario.work_budget(scenario.slow_start_ms) == pytest.approx(80 + 2 * math.sqrt(80) + 2)
--- a/tests/policy/test_subset_use.py
+++ b/tests/policy/test_subset_use.py
@@ -25,7 +25,7 @@
 from tests.support.endpoints import DRAINING, READY, create_endpoint, delta, ready_endpoints, snapshot
 from tests.support.policy_harness import PolicyHarness, only_attempt_in
 from tests.support.policy_settings import IDEMPOTENT, SAFETY_RULES, WITH_KEY, settings
-from tests.support.reference_subset import FLEET_SIZE, ReferenceSubset
+from tests.support.reference_subset import FLEET_GATEWAY_COUNT, ReferenceSubset
 
 GATEWAY_INDEX = 1_234
 PART_SIZE = 64
@@ -51,7 +51,7 @@
     policy = GatewayPolicy(
         settings(
             gateway_index=GATEWAY_INDEX,
-            gateway_count=FLEET_SIZE,
+            gateway_count=FLEET_GATEWAY_COUNT,
             safety_rules=SAFETY_RULES,
             request_classes=(IDEMPOTENT, WITH_KEY),
         ),
@@ -62,7 +62,7 @@
 
 
 def test_the_rebuild_of_a_long_list_goes_on_as_its_timer_fires() -> None:
-    reference = ReferenceSubset(GATEWAY_INDEX, FLEET_SIZE)
+    reference = ReferenceSubset(GATEWAY_INDEX, FLEET_GATEWAY_COUNT)
     reference.apply(UpdateKind.SNAPSHOT, ready_endpoints(range(5_000)))
 
     policy = create_policy(5_000)
@@ -89,7 +89,7 @@
     harness = PolicyHarness(
         [create_endpoint(1)],
         gateway_index=3,
-        gateway_count=FLEET_SIZE,
+        gateway_count=FLEET_GATEWAY_COUNT,
         request_classes=(IDEMPOTENT, WITH_KEY),
     )
     harness.deliver(snapshot(*ready_endpoints(range(2_000), cells=cell_count)))
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -14,7 +14,7 @@
 from gateway.policy.ring import Ring
 from gateway.policy.subsetting import MAX_SAMPLE_SIZE, REBUILD_STEP, EndpointSubset
 from tests.support.endpoints import DRAINING, READY, REMOVED, create_endpoint, ready_endpoints
-from tests.support.reference_subset import FLEET_SIZE, ReferenceSubset
+from tests.support.reference_subset import FLEET_GATEWAY_COUNT, ReferenceSubset
 
 
 def create_subset(
@@ -170,7 +170,7 @@
         created[endpoint.backend_id] += 1
         return endpoint.backend_id
 
-    subset = EndpointSubset(1_234, FLEET_SIZE, create_backend)
+    subset = EndpointSubset(1_234, FLEET_GATEWAY_COUNT, create_backend)
     apply_in_parts(subset, UpdateKind.SNAPSHOT, ready_endpoints(range(list_length)), part_count=20)
     finish_rebuild(subset)
     assert len(subset.backend_ids) == len(subset.backends) > 0
@@ -208,7 +208,7 @@
 
 
 def test_a_long_snapshot_is_ordered_in_steps_once_it_is_complete(hashes: HashCounter) -> None:
-    subset = create_subset(1_234, FLEET_SIZE)
+    subset = create_subset(1_234, FLEET_GATEWAY_COUNT)
     endpoints = ready_endpoints(range(20_000))
 
     apply_in_parts(subset, UpdateKind.SNAPSHOT, endpoints, part_count=313)
@@ -226,8 +226,8 @@
 
 
 def test_the_cost_of_a_snapshot_grows_with_its_difference_from_the_list(hashes: HashCounter) -> None:
-    subset = create_subset(1_234, FLEET_SIZE)
-    reference = ReferenceSubset(1_234, FLEET_SIZE)
+    subset = create_subset(1_234, FLEET_GATEWAY_COUNT)
+    reference = ReferenceSubset(1_234, FLEET_GATEWAY_COUNT)
     endpoints = ready_endpoints(range(20_000))
     apply_in_parts(subset, UpdateKind.SNAPSHOT, endpoints, part_count=313)
     finish_rebuild(subset)
@@ -279,8 +279,8 @@
 
 
 def test_changes_during_a_rebuild_are_applied() -> None:
-    subset = create_subset(5, FLEET_SIZE)
-    reference = ReferenceSubset(5, FLEET_SIZE)
+    subset = create_subset(5, FLEET_GATEWAY_COUNT)
+    reference = ReferenceSubset(5, FLEET_GATEWAY_COUNT)
     endpoints = ready_endpoints(range(5_000))
     apply_in_parts(subset, UpdateKind.SNAPSHOT, endpoints, part_count=50)
     reference.apply(UpdateKind.SNAPSHOT, endpoints)
@@ -299,7 +299,7 @@
 
 
 def test_no_backend_of_a_replaced_list_stays_in_use() -> None:
-    subset = create_subset(5, FLEET_SIZE)
+    subset = create_subset(5, FLEET_GATEWAY_COUNT)
     apply_in_parts(subset, UpdateKind.SNAPSHOT, ready_endpoints(range(5_000)), part_count=9)
     finish_rebuild(subset)
     assert subset.backends
@@ -317,7 +317,7 @@
 @pytest.fixture
 def long_list_by_cell() -> EndpointSubset[int]:
     """A subset of 9,000 backends in 300 cells, with the cell index."""
-    subset = create_subset(5, FLEET_SIZE, has_cell_index=True)
+    subset = create_subset(5, FLEET_GATEWAY_COUNT, has_cell_index=True)
     apply_in_parts(subset, UpdateKind.SNAPSHOT, ready_endpoints(range(9_000), cells=300))
     finish_rebuild(subset)
     return subset
--- a/tests/support/backend_harness.py
+++ b/tests/support/backend_harness.py
@@ -158,6 +158,6 @@
         return end.outcome
 
 
-def scripted(reply: ScriptedReply) -> FakeBackend:
+def backend_with_fixed_reply(reply: ScriptedReply) -> FakeBackend:
     """Return a backend that sends the same reply to every request."""
     return FakeBackend(always(reply))
--- a/tests/support/clients.py
+++ b/tests/support/clients.py
@@ -30,12 +30,12 @@
 class RecordingHandler:
     """Keeps every request until a test replies; stands in for all that is behind the client listener."""
 
-    pending: dict[str, PendingReply] = field(default_factory=dict)
+    pending_replies: dict[str, PendingReply] = field(default_factory=dict)
     disconnected: list[str] = field(default_factory=list)
     immediate_reply: bytes = b""
 
     def on_request(self, request: ClientRequest, pending_reply: PendingReply) -> None:
-        self.pending[request.id] = pending_reply
+        self.pending_replies[request.id] = pending_reply
         if self.immediate_reply:
             pending_reply.complete(self.immediate_reply)
 
@@ -153,15 +153,15 @@
     return RespPeer(*await asyncio.open_connection(LOCAL, port))
 
 
-def connect_at_once(port: int, data: bytes = b"") -> socket.socket:
+def connect_blocking(port: int, data: bytes = b"") -> socket.socket:
     """Connect a client and send in one step: no turn of the gateway's event loop lies between."""
     client = socket.create_connection((LOCAL, port))
     client.sendall(data)
     return client
 
 
-async def as_peer(client: socket.socket) -> RespPeer:
-    """Continue a client of `connect_at_once` with turns of the event loop."""
+async def peer_from_socket(client: socket.socket) -> RespPeer:
+    """Continue a client of `connect_blocking` with turns of the event loop."""
     return RespPeer(*await asyncio.open_connection(sock=client))
 
 
@@ -169,15 +169,15 @@
     """Call back among the reads of one turn of the event loop: its timers come next, then new reads."""
     loop = asyncio.get_running_loop()
     is_called = asyncio.Event()
-    near, far = socket.socketpair()
+    receiver, sender = socket.socketpair()
 
     def on_readable() -> None:
-        loop.remove_reader(near)
+        loop.remove_reader(receiver)
         callback()
         is_called.set()
 
-    loop.add_reader(near, on_readable)
-    far.send(b"go")
+    loop.add_reader(receiver, on_readable)
+    sender.send(b"go")
     await is_called.wait()
-    near.close()
-    far.close()
+    receiver.close()
+    sender.close()
--- a/tests/support/event_loop.py
+++ b/tests/support/event_loop.py
@@ -14,11 +14,11 @@
 POLL_INTERVAL_S = 0.002
 
 
-def run_in_loop(scenario: Callable[[], Awaitable[None]], seconds: float = 20) -> None:
-    """Run a scenario in an event loop of its own, for at most `seconds`."""
+def run_in_loop(scenario: Callable[[], Awaitable[None]], timeout_s: float = 20) -> None:
+    """Run a scenario in an event loop of its own, for at most `timeout_s`."""
 
     async def limited() -> None:
-        async with asyncio.timeout(seconds):
+        async with asyncio.timeout(timeout_s):
             await scenario()
 
     uvloop.run(limited())
--- a/tests/support/fake_services.py
+++ b/tests/support/fake_services.py
@@ -17,9 +17,9 @@
     """Listens on a port of its own and hands every connection to `handle_connection`."""
 
     def __init__(self) -> None:
-        self.open: set[asyncio.StreamWriter] = set()
+        self.open_connections: set[asyncio.StreamWriter] = set()
         self.tasks: set[asyncio.Task[None]] = set()
-        self.accepted = 0
+        self.accepted_count = 0
         self.port = 0
 
     @property
@@ -35,14 +35,14 @@
         task = asyncio.current_task()
         assert task is not None
         self.tasks.add(task)
-        self.open.add(writer)
-        self.accepted += 1
+        self.open_connections.add(writer)
+        self.accepted_count += 1
         try:
             await self.handle_connection(reader, writer)
         except (ConnectionError, asyncio.CancelledError):
             pass
         finally:
-            self.open.discard(writer)
+            self.open_connections.discard(writer)
             self.tasks.discard(task)
             writer.close()
 
@@ -50,7 +50,7 @@
         raise NotImplementedError
 
     def close_connections(self) -> None:
-        for writer in self.open:
+        for writer in self.open_connections:
             writer.close()
 
     async def stop(self) -> None:
@@ -84,7 +84,7 @@
         self.script = script or self.serve
         self.received: list[list[bytes]] = []
         """The commands received, in order."""
-        self.ended = 0
+        self.closed_by_gateway_count = 0
         """How many connections the gateway closed."""
 
     async def serve(self, _command: list[bytes]) -> ScriptedReply:
@@ -100,7 +100,7 @@
                 return
             if reply:
                 writer.write(reply)
-        self.ended += 1
+        self.closed_by_gateway_count += 1
 
 
 class FakeCounter(FakeServer):
@@ -135,15 +135,15 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.requests: list[str] = []
+        self.request_targets: list[str] = []
         self.watches: list[asyncio.StreamWriter] = []
-        self.snapshot = list_message(1)
+        self.snapshot = endpoint_list_message(1)
         self.indent: int | None = None
 
     async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         head = await reader.readuntil(b"\r\n\r\n")
         target = head.split()[1].decode()
-        self.requests.append(target)
+        self.request_targets.append(target)
         if "stream=1" not in target:
             body = json.dumps(self.snapshot, indent=self.indent).encode()
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\nConnection: close\r\n\r\n" % len(body))
@@ -159,7 +159,7 @@
 
     def send_update(self, version: int, *entries: dict[str, Any], is_snapshot: bool = False) -> None:
         """Send a delta, or with `is_snapshot` a snapshot, on the newest watch."""
-        message = list_message(version, *entries, is_snapshot=is_snapshot)
+        message = endpoint_list_message(version, *entries, is_snapshot=is_snapshot)
         self.send_line(json.dumps(message).encode())
 
 
@@ -169,15 +169,15 @@
     def __init__(self) -> None:
         super().__init__()
         self.resumed = asyncio.Event()
-        self.calls = 0
+        self.call_count = 0
 
     async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.calls += 1
+        self.call_count += 1
         await self.resumed.wait()
         await super().handle_connection(reader, writer)
 
 
-def list_message(version: int, *entries: dict[str, Any], is_snapshot: bool = True) -> dict[str, Any]:
+def endpoint_list_message(version: int, *entries: dict[str, Any], is_snapshot: bool = True) -> dict[str, Any]:
     """Return a snapshot or a delta of the endpoint list as discovery sends it."""
     return {"seq": version, "whole": is_snapshot, "hosts": list(entries)}
 
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -35,7 +35,7 @@
 
 START_MS = 100_000.0
 """The virtual time at which a fleet starts."""
-COUNTER_ONE_WAY_MS = 1.0
+COUNTER_ONE_WAY_LATENCY_MS = 1.0
 """From a gateway to the counter, and back."""
 REQUEST_LIFETIME_MS = 3000.0
 """From a request's arrival to its deadline."""
@@ -88,7 +88,7 @@
 
 
 @dataclass(frozen=True)
-class Conditions:
+class FleetConditions:
     """What a fleet's policies meet."""
 
     seed: int = 1
@@ -97,10 +97,10 @@
     """Calls that may wait at the counter; it rejects more."""
     counter_timeout_ms: float = math.inf
     """How long a gateway waits for the counter's response."""
-    client_retries: int = 0
-    client_retry_delay_ms: float = 200.0
+    max_client_retries: int = 0
+    min_client_retry_delay_ms: float = 200.0
     """Least delay before a client retries; a longer Retry-After is kept."""
-    latency_ms: Callable[[random.Random, int], float] = TYPICAL_LATENCY
+    draw_latency_ms: Callable[[random.Random, int], float] = TYPICAL_LATENCY
     """Draws the latency of a backend's response."""
     backends: tuple[Endpoint, ...] = SIXTY_READY_BACKENDS
 
@@ -112,10 +112,10 @@
         self,
         gateway_count: int,
         customers: Iterable[Customer],
-        conditions: Conditions | None = None,
+        conditions: FleetConditions | None = None,
         **settings_changes: object,
     ) -> None:
-        self.conditions = conditions or Conditions()
+        self.conditions = conditions or FleetConditions()
         self.scheduler = VirtualScheduler(START_MS)
         self.rng = random.Random(self.conditions.seed)
         self.customers = list(customers)
@@ -127,7 +127,7 @@
             calls_per_s=self.conditions.counter_calls_per_s,
             queue_length=self.conditions.counter_queue_length,
             timeout_ms=self.conditions.counter_timeout_ms,
-            one_way_ms=COUNTER_ONE_WAY_MS,
+            one_way_latency_ms=COUNTER_ONE_WAY_LATENCY_MS,
         )
         self.requests: dict[str, FleetRequest] = {}
         self._request_numbers = itertools.count(1)
@@ -152,14 +152,14 @@
         """The virtual time in milliseconds."""
         return self.scheduler.now
 
-    def play(self, seconds: float) -> Counter[CountKey]:
+    def run(self, seconds: float) -> Counter[CountKey]:
         """Let virtual time pass; returns the counts since the start of the fleet."""
         self.scheduler.advance(seconds * MS_PER_S)
         return self.counts
 
     def stall(self, seconds: float) -> None:
         """Let virtual time pass during which nothing is handled; what falls due is handled late."""
-        self.scheduler.skip(seconds * MS_PER_S)
+        self.scheduler.stall(seconds * MS_PER_S)
 
     def count(self, event: FleetEvent, plan: str = "") -> None:
         """Count an event."""
@@ -205,7 +205,9 @@
             case SetTimer(delay_ms, token):
                 self.scheduler.schedule(delay_ms, lambda: self.deliver(index, TimerFired(token)))
             case IncrementCounter():
-                self.scheduler.schedule(COUNTER_ONE_WAY_MS, lambda: self._increment_counter(index, action))
+                self.scheduler.schedule(
+                    COUNTER_ONE_WAY_LATENCY_MS, lambda: self._increment_counter(index, action)
+                )
             case StartAttempt(request_id, backend_id):
                 self.start_attempt(index, request_id, backend_id)
             case Reject(request_id, retry_after_ms):
@@ -220,7 +222,7 @@
         request.attempt_count += 1
         if attempt_number == 0:
             self._count_forwarded(request.customer)
-        latency_ms = self.conditions.latency_ms(self.rng, backend_id)
+        latency_ms = self.conditions.draw_latency_ms(self.rng, backend_id)
         ended = AttemptEnded(
             request_id=request_id,
             attempt_number=attempt_number,
@@ -236,8 +238,8 @@
         request = self.requests[request_id]
         if not request.attempt_count:
             self._count_rejected(request.customer)
-        if request.client_attempt <= self.conditions.client_retries:
-            delay_ms = max(retry_after_ms, self.conditions.client_retry_delay_ms)
+        if request.client_attempt <= self.conditions.max_client_retries:
+            delay_ms = max(retry_after_ms, self.conditions.min_client_retry_delay_ms)
             next_attempt = request.client_attempt + 1
             self.scheduler.schedule(delay_ms, lambda: self.send_request(request.customer, next_attempt))
 
--- a/tests/support/gateway_process.py
+++ b/tests/support/gateway_process.py
@@ -18,18 +18,20 @@
 from tests.support.resp_peer import LOCAL, RespPeer
 
 ROOT = Path(__file__).parents[2]
-COMMAND = (sys.executable, "-m", "gateway")
+GATEWAY_COMMAND = (sys.executable, "-m", "gateway")
 
 
-def environment(config: Path) -> dict[str, str]:
+def gateway_environment(config: Path) -> dict[str, str]:
     """The environment of a gateway that reads `config`."""
     return {**os.environ, "LB_CONFIG": str(config)}
 
 
 async def start_process(
-    config: Path, command: Sequence[str] = COMMAND, stderr: int | IO[bytes] = asyncio.subprocess.PIPE
+    config: Path, command: Sequence[str] = GATEWAY_COMMAND, stderr: int | IO[bytes] = asyncio.subprocess.PIPE
 ) -> asyncio.subprocess.Process:
-    return await asyncio.create_subprocess_exec(*command, cwd=ROOT, env=environment(config), stderr=stderr)
+    return await asyncio.create_subprocess_exec(
+        *command, cwd=ROOT, env=gateway_environment(config), stderr=stderr
+    )
 
 
 async def end_process(process: asyncio.subprocess.Process) -> None:
@@ -39,7 +41,7 @@
     await process.wait()
 
 
-async def connect(port: int) -> RespPeer:
+async def connect_when_listening(port: int) -> RespPeer:
     """A client's connection, as soon as the gateway accepts it."""
     while True:
         try:
@@ -73,11 +75,11 @@
 
 
 @asynccontextmanager
-async def launched(
+async def running_gateway_process(
     harness: GatewayHarness,
     folder: Path,
     *other_servers: FakeServer,
-    command: Sequence[str] = COMMAND,
+    command: Sequence[str] = GATEWAY_COMMAND,
     stderr: int | IO[bytes] = asyncio.subprocess.PIPE,
 ) -> AsyncIterator[GatewayProcess]:
     """A gateway process; the harness's servers and the others run as long as it does."""
--- a/tests/support/invalid_configurations.py
+++ b/tests/support/invalid_configurations.py
@@ -1,15 +1,15 @@
 """Texts of configuration files that a gateway must not accept."""
 
-_ADDRESSES = '{"listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", '
+_ADDRESS_FIELDS = '{"listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", '
 
 INVALID_CONFIGURATIONS = {
     "empty": "",
     "a list": "[]",
     "no keys": "{}",
     "addresses without ports": '{"listen": "here", "discovery": "there", "settings": {}}',
-    "a gateway count beyond all numbers": _ADDRESSES + '"settings": {"groupSize": 1e999}}',
-    "infinitely many descriptors": _ADDRESSES + '"limits": {"sockets": Infinity}, "settings": {}}',
-    "an unknown effect": _ADDRESSES
+    "a gateway count beyond all numbers": _ADDRESS_FIELDS + '"settings": {"groupSize": 1e999}}',
+    "infinitely many descriptors": _ADDRESS_FIELDS + '"limits": {"sockets": Infinity}, "settings": {}}',
+    "an unknown effect": _ADDRESS_FIELDS
     + '"settings": {"classes": [{"name": "c", "deadline": 1, "effect": "odd"}]}}',
     "nested too deeply": "[" * 100_000,
     "not UTF-8": "\udcff",
--- a/tests/support/manual_server.py
+++ b/tests/support/manual_server.py
@@ -21,7 +21,7 @@
         self.listener.setblocking(False)
         self.address = Address(*self.listener.getsockname())
 
-    async def accept_after(self, command_count: int) -> socket.socket:
+    async def accept_and_receive(self, command_count: int) -> socket.socket:
         """Accept a connection, and return it once so many commands have been received in full."""
         connection = await self.accept()
         peer = RespPeer(*await asyncio.open_connection(sock=connection.dup()))
@@ -50,16 +50,16 @@
     """A listening socket on which connections are established late, and the clients that fill its queue."""
 
     listener: socket.socket
-    fillers: list[socket.socket]
+    queued_clients: list[socket.socket]
 
 
 @contextlib.contextmanager
 def full_accept_queue() -> Iterator[FullAcceptQueue]:
-    """A listening socket whose accept queue is full until its fillers are closed and accepted."""
+    """A listening socket whose accept queue is full until the clients in it are closed and accepted."""
     with contextlib.ExitStack() as stack:
         listener = stack.enter_context(socket.create_server((LOCAL, 0), backlog=0))
-        fillers = [stack.enter_context(socket.socket()) for _ in range(3)]
-        for filler in fillers:
-            filler.setblocking(False)
-            filler.connect_ex(listener.getsockname())
-        yield FullAcceptQueue(listener, fillers)
+        queued_clients = [stack.enter_context(socket.socket()) for _ in range(3)]
+        for client in queued_clients:
+            client.setblocking(False)
+            client.connect_ex(listener.getsockname())
+        yield FullAcceptQueue(listener, queued_clients)
--- a/tests/support/policy_harness.py
+++ b/tests/support/policy_harness.py
@@ -52,7 +52,7 @@
         """Create a policy that knows the endpoints; `changes` are of the default settings."""
         self.policy = GatewayPolicy(settings(**changes), seed)
         self.scheduler = VirtualScheduler(START_MS)
-        self.log: list[TimedAction] = []
+        self.timed_actions: list[TimedAction] = []
         self._last_request_number = 0
         self.deliver(snapshot(*endpoints))
 
@@ -71,7 +71,7 @@
     @property
     def actions(self) -> list[Action]:
         """All actions since the start."""
-        return [action for _, action in self.log]
+        return [action for _, action in self.timed_actions]
 
     @property
     def next_request_id(self) -> str:
@@ -82,7 +82,7 @@
         """Let the policy handle an event now; returns the actions that follow."""
         actions = self.policy.handle(self.now, event)
         for action in actions:
-            self.log.append(TimedAction(self.now, action))
+            self.timed_actions.append(TimedAction(self.now, action))
             if isinstance(action, SetTimer):
                 self.scheduler.schedule(action.delay_ms, partial(self.deliver, TimerFired(action.token)))
         return actions
@@ -142,13 +142,13 @@
 
     def pass_time(self, milliseconds: float) -> list[Action]:
         """Let time pass, firing the timers that fall due; returns the actions that follow."""
-        first_new = len(self.log)
+        first_new = len(self.timed_actions)
         self.scheduler.advance(milliseconds)
-        return [action for _, action in self.log[first_new:]]
+        return [action for _, action in self.timed_actions[first_new:]]
 
     def stall(self, milliseconds: float) -> None:
         """Let time pass during which no timer fires; those that fall due fire late."""
-        self.scheduler.skip(milliseconds)
+        self.scheduler.stall(milliseconds)
 
     def last_attempt_number(self, request_id: str) -> int:
         """The number of the latest attempt of a request."""
--- a/tests/support/reference_subset.py
+++ b/tests/support/reference_subset.py
@@ -10,7 +10,7 @@
 from gateway.policy.subsetting import MIN_GATEWAYS_PER_BACKEND, MIN_SUBSET_SIZE
 from tests.support.endpoints import READY, REMOVED
 
-FLEET_SIZE = 3_700
+FLEET_GATEWAY_COUNT = 3_700
 """Gateways of the fleet that the long lists are for."""
 
 
@@ -26,9 +26,11 @@
         """Apply a complete update: anything but a delta drops the backends that it omits."""
         endpoints = list(endpoints)
         if kind is not UpdateKind.DELTA:
-            named = {endpoint.backend_id for endpoint in endpoints}
+            listed_ids = {endpoint.backend_id for endpoint in endpoints}
             self.listed = {
-                backend_id: endpoint for backend_id, endpoint in self.listed.items() if backend_id in named
+                backend_id: endpoint
+                for backend_id, endpoint in self.listed.items()
+                if backend_id in listed_ids
             }
         for endpoint in endpoints:
             if endpoint.state is REMOVED:
@@ -43,13 +45,15 @@
     def backend_ids(self) -> list[int]:
         """The backends of this gateway's window, in the order of its round."""
         ready_ids = self.ready_ids()
-        count = len(ready_ids)
-        size = max(MIN_SUBSET_SIZE, MIN_GATEWAYS_PER_BACKEND * count / max(1, self.gateway_count))
-        window_count = 2 ** max(0, math.floor(math.log2(max(1.0, count / size))))
-        round_number, window = divmod(self.gateway_index, window_count)
+        ready_count = len(ready_ids)
+        min_size = max(MIN_SUBSET_SIZE, MIN_GATEWAYS_PER_BACKEND * ready_count / max(1, self.gateway_count))
+        window_count = 2 ** max(0, math.floor(math.log2(max(1.0, ready_count / min_size))))
+        round_number, window_index = divmod(self.gateway_index, window_count)
         if window_count > 1:
             ready_ids.sort(key=lambda backend_id: self._sort_key(round_number, backend_id))
-        return ready_ids[count * window // window_count : count * (window + 1) // window_count]
+        return ready_ids[
+            ready_count * window_index // window_count : ready_count * (window_index + 1) // window_count
+        ]
 
     @staticmethod
     def _sort_key(round_number: int, backend_id: int) -> bytes:
--- a/tests/support/simulated_counter.py
+++ b/tests/support/simulated_counter.py
@@ -20,23 +20,23 @@
     """Totals by name. Calls that no gateway waits for any more are handled too, and delay later ones."""
 
     def __init__(
-        self, *, calls_per_s: float, queue_length: int, timeout_ms: float, one_way_ms: float
+        self, *, calls_per_s: float, queue_length: int, timeout_ms: float, one_way_latency_ms: float
     ) -> None:
         self.totals: dict[str, float] = {}
         self._call_ms = MS_PER_S / calls_per_s
         self._queue_length = queue_length
         self._timeout_ms = timeout_ms
-        self._one_way_ms = one_way_ms
+        self._one_way_latency_ms = one_way_latency_ms
         self._free_at = 0.0
 
     def increment(self, now: float, name: str, amount: float) -> CounterResult:
         """Handle a call that arrives now, or reject it if the queue is full."""
         if (self._free_at - now) / self._call_ms > self._queue_length:
-            return CounterResult(Outcome.QUEUE_FULL, 0.0, self._one_way_ms)
+            return CounterResult(Outcome.QUEUE_FULL, 0.0, self._one_way_latency_ms)
         self._free_at = max(self._free_at, now) + self._call_ms
         total = self.totals.get(name, 0.0) + amount
         self.totals[name] = total
-        latency_ms = self._free_at - now + self._one_way_ms
+        latency_ms = self._free_at - now + self._one_way_latency_ms
         if latency_ms > self._timeout_ms:
             return CounterResult(Outcome.TIMED_OUT, 0.0, self._timeout_ms)
         return CounterResult(Outcome.OK, total, latency_ms)
--- a/tests/support/slow_start_fleet.py
+++ b/tests/support/slow_start_fleet.py
@@ -17,7 +17,7 @@
 from gateway.policy.events import AttemptEnded, Endpoint, EndpointUpdate, Outcome, UpdateKind
 from gateway.policy.settings import Plan, SafetyRules
 from tests.support.endpoints import create_endpoint
-from tests.support.fleet import Conditions, Fleet, FleetEvent
+from tests.support.fleet import Fleet, FleetConditions, FleetEvent
 from tests.support.fleet_customers import MS_PER_S, Customer
 from tests.support.policy_settings import IDEMPOTENT
 
@@ -64,7 +64,7 @@
     """Requests of mean work a second that a warm backend processes."""
     load: float = 0.85
     """Requested work, as a fraction of the capacity of all backends once they are warm."""
-    burst: float = 1.5
+    burst_factor: float = 1.5
     """Factor of the load in every third second."""
     initial_capacity: float = 0.18
     slow_start_ms: float = 5_000.0
@@ -76,7 +76,7 @@
         gained = (1 - self.initial_capacity) * max(0.0, age_ms) / self.slow_start_ms
         return min(1.0, self.initial_capacity + gained)
 
-    def budget(self, age_ms: float) -> float:
+    def work_budget(self, age_ms: float) -> float:
         """The work that a backend may receive in a window that begins at an age.
 
         That is N requests of mean work, which the settings allow, and 2 x root of N + 2 for random variation.
@@ -142,7 +142,7 @@
 
     def __init__(self, scenario: Scenario, seed: int, draw_work: DrawWork) -> None:
         self.scenario = scenario
-        self.received: dict[int, list[ReceivedAttempt]] = {}
+        self.received_by_backend: dict[int, list[ReceivedAttempt]] = {}
         """By restarted backend."""
         self._draw_work = draw_work
         self._work_rng = random.Random(f"work {seed}")
@@ -151,10 +151,10 @@
         self._queues = [BackendQueue() for _ in range(scenario.backend_count)]
         self._open_attempts: dict[AttemptKey, OpenAttempt] = {}
         self._finished_requests: set[str] = set()
-        conditions = Conditions(
+        conditions = FleetConditions(
             seed=seed,
-            client_retries=2,
-            client_retry_delay_ms=CLIENT_RETRY_DELAY_MS,
+            max_client_retries=2,
+            min_client_retry_delay_ms=CLIENT_RETRY_DELAY_MS,
             backends=tuple(self._endpoint(backend_id, 0.0) for backend_id in range(scenario.backend_count)),
         )
         super().__init__(
@@ -197,7 +197,7 @@
         backend_ids = range(scenario.backend_count - scenario.restarted_count, scenario.backend_count)
         for backend_id in backend_ids:
             self._restarted_at[backend_id] = self.now
-            self.received[backend_id] = []
+            self.received_by_backend[backend_id] = []
             self._queues[backend_id] = BackendQueue(self.now)
         endpoints = tuple(self._endpoint(backend_id, self.now) for backend_id in backend_ids)
         update = EndpointUpdate(UpdateKind.DELTA, endpoints)
@@ -207,7 +207,9 @@
     def send_new_request(self, customer: Customer) -> None:
         """Send a customer's next request; more come in every third second."""
         is_burst = int(self.now // MS_PER_S) % 3 == 0
-        self.schedule_next_request(customer, customer.rate * (self.scenario.burst if is_burst else 1.0))
+        self.schedule_next_request(
+            customer, customer.rate * (self.scenario.burst_factor if is_burst else 1.0)
+        )
         self.send_request(customer)
 
     def carry_out(self, index: int, action: Action) -> None:
@@ -224,7 +226,7 @@
         number = request.attempt_count
         request.attempt_count += 1
         if number:
-            self._count_further_attempt(request_id, number)
+            self._count_hedge_or_retry(request_id, number)
         work = self._work_of(request_id)
         self._record_received(backend_id, work)
         key = AttemptKey(request_id, number)
@@ -242,7 +244,7 @@
             self._work_by_request[request_id] = self._draw_work(self._work_rng)
         return self._work_by_request[request_id]
 
-    def _count_further_attempt(self, request_id: str, number: int) -> None:
+    def _count_hedge_or_retry(self, request_id: str, number: int) -> None:
         earlier = (AttemptKey(request_id, other) for other in range(number))
         is_hedge = any(key in self._open_attempts for key in earlier)
         self.count(FleetEvent.HEDGED if is_hedge else FleetEvent.RETRIED)
@@ -251,7 +253,7 @@
         """Record all that is sent to a restarted backend, including what it rejects."""
         if backend_id in self._restarted_at:
             age_ms = self.now - self._restarted_at[backend_id]
-            self.received[backend_id].append(ReceivedAttempt(age_ms, work))
+            self.received_by_backend[backend_id].append(ReceivedAttempt(age_ms, work))
 
     def _serve(self, backend_id: int, work: float) -> BackendResult:
         """The result of an attempt that starts now."""
--- a/tests/support/virtual_scheduler.py
+++ b/tests/support/virtual_scheduler.py
@@ -12,12 +12,12 @@
 
     def __init__(self, now: float) -> None:
         self.now = now
-        self._serials = itertools.count()
+        self._sequence_numbers = itertools.count()
         self._queue: list[tuple[float, int, Callable[[], object]]] = []
 
     def schedule(self, delay_ms: float, callback: Callable[[], object]) -> None:
         """Call back after a delay; callbacks due at the same time run in the order of scheduling."""
-        heapq.heappush(self._queue, (self.now + delay_ms, next(self._serials), callback))
+        heapq.heappush(self._queue, (self.now + delay_ms, next(self._sequence_numbers), callback))
 
     def advance(self, milliseconds: float) -> None:
         """Let time pass, and run what falls due, in the order of due times."""
@@ -28,6 +28,6 @@
             callback()
         self.now = end
 
-    def skip(self, milliseconds: float) -> None:
+    def stall(self, milliseconds: float) -> None:
         """Move the clock on while the process is stalled: what falls due meanwhile runs late."""
         self.now += milliseconds
--- a/tests/support/virtual_time.py
+++ b/tests/support/virtual_time.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-SETTLE_S = 0.002
+SOCKET_SETTLE_S = 0.002
 """Real time in which sockets of this machine become readable after a write to their other end."""
 
 
@@ -20,7 +20,7 @@
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         may_wait = timeout is None or timeout > 0
-        ready = super().select(SETTLE_S if may_wait else 0)
+        ready = super().select(SOCKET_SETTLE_S if may_wait else 0)
         if not ready and timeout is not None:
             self.now += max(0.0, timeout)
         return ready
@@ -37,7 +37,7 @@
         return self._virtual_selector.now
 
 
-def in_virtual_time(scenario: Callable[[], Coroutine[Any, Any, None]]) -> None:
+def run_in_virtual_time(scenario: Callable[[], Coroutine[Any, Any, None]]) -> None:
     """Run a scenario to its end in a loop of its own."""
     with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
         runner.run(scenario())
--- a/tests/support/watch_harness.py
+++ b/tests/support/watch_harness.py
@@ -53,14 +53,14 @@
     def __init__(
         self,
         version: int | None = 41,
-        service: FakeDiscovery | None = None,
+        discovery: FakeDiscovery | None = None,
         *,
         backoff: Backoff | None = None,
         is_polled: bool = False,
         reopen_after_s: float = MIN_REOPEN_DELAY_S,
     ) -> None:
         self.version = version
-        self.service = service or FakeDiscovery()
+        self.discovery = discovery or FakeDiscovery()
         self.backoff = backoff or Backoff(2, 10.0, random.Random(1))
         self.is_polled = is_polled
         self.reopen_after_s = reopen_after_s
@@ -75,26 +75,26 @@
         self.updates.append(RecordedUpdate(kind, states))
 
     async def __aenter__(self) -> WatchHarness:
-        await self.service.start()
-        self.client = EndpointWatcher(
-            self.service.address,
+        await self.discovery.start()
+        self.watcher = EndpointWatcher(
+            self.discovery.address,
             self.version,
             lambda *part: self.listener(*part),
             self.backoff,
             is_polled=self.is_polled,
             reopen_after_s=self.reopen_after_s,
         )
-        self.task = asyncio.create_task(self.client.run())
+        self.task = asyncio.create_task(self.watcher.run())
         return self
 
     async def __aexit__(self, *_: object) -> None:
         self.task.cancel()
         await asyncio.wait({self.task})
-        await self.service.stop()
+        await self.discovery.stop()
 
     async def wait_for_watches(self, count: int) -> None:
         """Wait until discovery has accepted at least `count` watches in all."""
-        await wait_until(lambda: len(self.service.watches) >= count)
+        await wait_until(lambda: len(self.discovery.watches) >= count)
 
     async def wait_for_updates(self, count: int) -> None:
         """Wait until at least `count` parts of updates have been delivered in all."""
