--- a/tests/network/test_dispatcher.py
+++ b/tests/network/test_dispatcher.py
@@ -29,7 +29,7 @@
 from gateway.policy.timers import TimerKind, TimerToken
 from tests.support.clients import create_dispatcher, create_listener
 from tests.support.event_loop import runs_in_loop, wait_until
-from tests.support.policy_settings import BONUS, IDEMPOTENT, settings
+from tests.support.policy_settings import IDEMPOTENT, WITH_OVER_QUOTA_REVENUE, settings
 from tests.support.request_commands import request_command
 from tests.support.resp_peer import LOCAL
 from tests.support.stub_policy import StubPolicy
@@ -65,7 +65,9 @@
         pending_reply = PendingReply(self.connection)
         pending_reply.open_request(request_id)
         self.connection.replies.add(pending_reply)
-        command = request_command(request_id.encode(), plan=BONUS.name.encode(), remaining_ms=remaining_ms)
+        command = request_command(
+            request_id.encode(), plan=WITH_OVER_QUOTA_REVENUE.name.encode(), remaining_ms=remaining_ms
+        )
         self.dispatcher.on_request(self.parser.parse(list(command)), pending_reply)
         return pending_reply
 
--- a/tests/policy/test_leases.py
+++ b/tests/policy/test_leases.py
@@ -11,7 +11,7 @@
     only_counter_call_in,
     rejections_in,
 )
-from tests.support.policy_settings import BASIC, BONUS, FIRM
+from tests.support.policy_settings import BASIC, HARD_LIMITED, WITH_OVER_QUOTA_REVENUE
 
 
 def count_forwarded(
@@ -97,12 +97,12 @@
 
 def test_a_hard_limit_is_split_evenly_and_starts_empty(harness: PolicyHarness) -> None:
     """If the bucket were full after each restart, a gateway could spend the hard limit's burst twice."""
-    assert not attempts_in(harness.request(plan=FIRM.name))
+    assert not attempts_in(harness.request(plan=HARD_LIMITED.name))
 
     harness.pass_time(1000)
-    forwarded = count_forwarded(harness, 100, plan=FIRM.name)
+    forwarded = count_forwarded(harness, 100, plan=HARD_LIMITED.name)
 
-    assert forwarded == FIRM.hard_limit_rate / 2
+    assert forwarded == HARD_LIMITED.hard_limit_rate / 2
 
 
 def test_attempts_in_flight_stay_within_this_gateway_s_share_of_the_concurrency_limit(
@@ -110,15 +110,17 @@
 ) -> None:
     harness.pass_time(10_000)
 
-    attempts = [attempt for _ in range(20) for attempt in attempts_in(harness.request(plan=FIRM.name))]
+    attempts = [
+        attempt for _ in range(20) for attempt in attempts_in(harness.request(plan=HARD_LIMITED.name))
+    ]
 
-    assert len(attempts) == FIRM.concurrency_limit / 2
+    assert len(attempts) == HARD_LIMITED.concurrency_limit / 2
 
 
 def test_requests_beyond_the_quota_are_forwarded_where_they_earn_revenue_and_capacity_is_spare() -> None:
     harness = PolicyHarness(counter_available=False)
 
-    forwarded = count_forwarded(harness, 30, pause_ms=1, plan=BONUS.name)
+    forwarded = count_forwarded(harness, 30, pause_ms=1, plan=WITH_OVER_QUOTA_REVENUE.name)
 
     assert forwarded == 30
 
@@ -129,6 +131,6 @@
         harness.request(customer=f"customer {number}")
     harness.set_response_rate(20.0)  # the 60 requests in flight take three seconds to be answered
 
-    forwarded = count_forwarded(harness, 30, plan=BONUS.name)
+    forwarded = count_forwarded(harness, 30, plan=WITH_OVER_QUOTA_REVENUE.name)
 
     assert forwarded <= 2
--- a/tests/policy/test_safety_rules.py
+++ b/tests/policy/test_safety_rules.py
@@ -18,7 +18,7 @@
 from gateway.policy.events import AttemptEnded, ClientDisconnected, Outcome
 from tests.support.endpoints import DRAINING, READY, REMOVED, create_endpoint, delta
 from tests.support.policy_harness import PolicyHarness, TimedAction
-from tests.support.policy_settings import BASIC, FIRM, IDEMPOTENT, SAFETY_RULES, UNSAFE, WITH_KEY
+from tests.support.policy_settings import BASIC, HARD_LIMITED, IDEMPOTENT, SAFETY_RULES, UNSAFE, WITH_KEY
 
 OUTCOMES = list(Outcome)
 OUTCOMES_WITHOUT_RUN = {Outcome.QUEUE_FULL, Outcome.CONNECT_ERROR, Outcome.NOT_STARTED}
@@ -100,7 +100,7 @@
 
 
 class HardLimitBucket:
-    """A token bucket for one gateway's share of the hard limit of the plan FIRM."""
+    """A token bucket for one gateway's share of the hard limit of the plan HARD_LIMITED."""
 
     def __init__(self, now: float) -> None:
         self.tokens = 0.0
@@ -108,8 +108,8 @@
 
     def take(self, now: float) -> None:
         """Take the token of a forwarded request, and check that there was one."""
-        burst = FIRM.hard_limit_burst / GATEWAY_COUNT
-        earned = (now - self.refilled_at) / 1000 * (FIRM.hard_limit_rate / GATEWAY_COUNT)
+        burst = HARD_LIMITED.hard_limit_burst / GATEWAY_COUNT
+        earned = (now - self.refilled_at) / 1000 * (HARD_LIMITED.hard_limit_rate / GATEWAY_COUNT)
         self.tokens = min(burst, self.tokens + earned) - 1
         self.refilled_at = now
         assert self.tokens >= -1e-6, "the gateway exceeded its share of the hard limit"
@@ -207,7 +207,7 @@
     def _request(self, request_class: str, remaining_ms: float) -> None:
         request_id = self.harness.next_request_id
         self.requests[request_id] = ObservedRequest(request_class, self.harness.now + remaining_ms)
-        self.check(self.harness.request(request_class, FIRM.name, remaining_ms=remaining_ms))
+        self.check(self.harness.request(request_class, HARD_LIMITED.name, remaining_ms=remaining_ms))
 
     def _attempts_in_flight(self) -> list[AttemptId]:
         return [
@@ -285,7 +285,7 @@
     harness = PolicyHarness(seed=seed)
     for number in range(400):
         request_class = CLASS_NAMES[number % 3]
-        plan = (BASIC.name, FIRM.name)[number % 2]
+        plan = (BASIC.name, HARD_LIMITED.name)[number % 2]
         for action in harness.request(request_class, plan, customer=f"c{number % 17}"):
             if isinstance(action, StartAttempt) and number % 5:
                 harness.end_attempt(action, OUTCOMES[number % 4])
--- a/tests/policy/test_shared_bucket_reads.py
+++ b/tests/policy/test_shared_bucket_reads.py
@@ -12,7 +12,7 @@
     only_counter_call_in,
     rejections_in,
 )
-from tests.support.policy_settings import BONUS
+from tests.support.policy_settings import WITH_OVER_QUOTA_REVENUE
 
 SHARED_BUCKET_SET_SIZE = 100
 """Number of gateways among which the burst of 8 is too small to be spent locally."""
@@ -119,7 +119,7 @@
 
     for _ in range(20):
         harness.set_counter_capacity(0.1)
-        actions = harness.request(plan=BONUS.name, gateway_set_size=SHARED_BUCKET_SET_SIZE)
+        actions = harness.request(plan=WITH_OVER_QUOTA_REVENUE.name, gateway_set_size=SHARED_BUCKET_SET_SIZE)
         call_count += len(counter_calls_in(actions))
         forwarded += len(attempts_in(actions))
 
--- a/tests/support/invalid_configurations.py
+++ b/tests/support/invalid_configurations.py
@@ -7,8 +7,8 @@
     "a list": "[]",
     "no keys": "{}",
     "addresses without ports": '{"listen": "here", "discovery": "there", "settings": {}}',
-    "a gateway count beyond all numbers": _ADDRESS_FIELDS + '"settings": {"groupSize": 1e999}}',
-    "infinitely many descriptors": _ADDRESS_FIELDS + '"limits": {"sockets": Infinity}, "settings": {}}',
+    "an infinite gateway count": _ADDRESS_FIELDS + '"settings": {"groupSize": 1e999}}',
+    "an infinite descriptor limit": _ADDRESS_FIELDS + '"limits": {"sockets": Infinity}, "settings": {}}',
     "an unknown effect": _ADDRESS_FIELDS
     + '"settings": {"classes": [{"name": "c", "deadline": 1, "effect": "odd"}]}}',
     "nested too deeply": "[" * 100_000,
--- a/tests/support/policy_settings.py
+++ b/tests/support/policy_settings.py
@@ -24,11 +24,11 @@
 )
 
 BASIC = Plan("basic", rate=2, burst=8, over_quota_cost=1)
-FIRM = Plan(
+HARD_LIMITED = Plan(
     "firm", rate=10, burst=20, concurrency_limit=8, over_quota_cost=1, hard_limit_rate=20, hard_limit_burst=40
 )
 """A plan with a hard limit and a concurrency limit."""
-BONUS = Plan("bonus", rate=1, burst=2, over_quota_revenue=0.2)
+WITH_OVER_QUOTA_REVENUE = Plan("bonus", rate=1, burst=2, over_quota_revenue=0.2)
 """A plan whose requests earn something beyond the quota and cost nothing."""
 UNLIMITED = Plan("basic")
 """A plan without a quota, under the name that requests have unless a test says otherwise."""
@@ -42,7 +42,7 @@
     gateway_count=2,
     zone="a",
     request_classes=(IDEMPOTENT, WITH_KEY, UNSAFE),
-    plans=(BASIC, FIRM, BONUS),
+    plans=(BASIC, HARD_LIMITED, WITH_OVER_QUOTA_REVENUE),
     safety_rules=SAFETY_RULES,
     max_attempts=3,
     cancellation_supported=True,
