--- a/tests/support/backend_harness.py
+++ b/tests/support/backend_harness.py
@@ -1,4 +1,4 @@
-"""Pools of backend connections for tests, and attempts that record how they ended."""
+"""Connection pools to fake backends, and attempts that record their outcomes."""
 
 from __future__ import annotations
 
@@ -33,7 +33,10 @@
 
 @asynccontextmanager
 async def open_pool(*servers: FakeServer, **settings: Any) -> AsyncIterator[BackendPool]:
-    """Start the servers and a pool that lists them as ready, numbered from 0."""
+    """Start the servers, and a pool that lists them as ready backends with ids from 0.
+
+    `settings` replace entries of `POOL_SETTINGS`.
+    """
     loop = asyncio.get_running_loop()
     pool = BackendPool(loop, TimerQueue(loop), **{**POOL_SETTINGS, **settings})
     for number, server in enumerate(servers):
@@ -48,7 +51,7 @@
 
 
 class ManualBackend(NamedTuple):
-    """A pool that lists one backend, whose connections the test accepts and writes to itself."""
+    """A backend whose connections a test accepts and writes to itself, and the pool that lists it."""
 
     server: ManualServer
     pool: BackendPool
@@ -56,7 +59,7 @@
 
 @asynccontextmanager
 async def open_manual_backend() -> AsyncIterator[ManualBackend]:
-    """Start a backend that is driven by the test, and a pool that lists it as backend 0."""
+    """Start a backend whose connections the test handles itself, and a pool that lists it as backend 0."""
     server = ManualServer()
     async with open_pool() as pool:
         pool.update(0, server.address, EndpointState.READY)
@@ -65,7 +68,7 @@
 
 
 def idle_connections(pool: BackendPool) -> list[BackendConnection]:
-    """Return the idle connections of all endpoints."""
+    """Return the pool's idle connections to all endpoints."""
     connections: list[BackendConnection] = []
     for endpoint in pool.endpoints.values():
         for connection in endpoint.idle_connections:
@@ -75,13 +78,13 @@
 
 
 def only_idle_connection(pool: BackendPool) -> BackendConnection:
-    """Return the one idle connection of a pool."""
+    """Return the idle connection of a pool; there must be exactly one."""
     (connection,) = idle_connections(pool)
     return connection
 
 
 class IdleConnection(NamedTuple):
-    """A backend, the pool that lists it, and the pool's one connection to it, which is idle."""
+    """A backend, the pool that lists it, and the pool's only connection to it, which is idle."""
 
     backend: FakeBackend
     pool: BackendPool
@@ -90,7 +93,7 @@
 
 @asynccontextmanager
 async def open_idle_connection() -> AsyncIterator[IdleConnection]:
-    """Start a backend and a pool, and let one request be served, whose connection is idle then."""
+    """Start a backend and a pool, and serve one request, which leaves its connection idle."""
     backend = FakeBackend()
     async with open_pool(backend) as pool:
         assert await RecordedAttempt(pool).outcome() is Outcome.OK
@@ -98,25 +101,25 @@
 
 
 def stop_polling(connection: BackendConnection) -> None:
-    """Leave unread what the connection receives, as if the event loop had not polled it yet."""
+    """Leave what the connection receives unread, as if the event loop had not polled its socket yet."""
     connection.resources.loop.remove_reader(connection.fd)
 
 
 async def wait_for_reuse_delay(pool: BackendPool) -> None:
-    """Wait until the idle connections may be used again."""
+    """Wait until the pool may reuse its idle connections."""
     idle = idle_connections(pool)
     await wait_until(lambda: all(now_ms() - connection.idle_since > REUSE_DELAY_MS for connection in idle))
 
 
 class AttemptEnd(NamedTuple):
-    """How an attempt ended, and the value of the reply (empty without one)."""
+    """The outcome of an attempt, and the value of its reply (empty if it has none)."""
 
     outcome: Outcome
     value: bytes
 
 
 class RecordedAttempt:
-    """An attempt that is started at once, and all ends that were reported of it."""
+    """An attempt that starts at once; `ends` records every end that is reported for it."""
 
     def __init__(
         self, pool: BackendPool, backend_id: int = 0, timeout_ms: float = 3000, body: bytes = b""
@@ -134,7 +137,7 @@
 
     @property
     def connection(self) -> BackendConnection:
-        """The connection that the attempt is on."""
+        """The connection that the attempt uses."""
         connection = self.attempt.connection
         assert isinstance(connection, BackendConnection)
         return connection
@@ -147,13 +150,13 @@
         self._ended.set()
 
     async def result(self) -> AttemptEnd:
-        """Wait for the end; it must be the only one."""
+        """Wait until the attempt has ended and return its end; only one may have been reported."""
         await self._ended.wait()
         (end,) = self.ends
         return end
 
     async def outcome(self) -> Outcome:
-        """Wait for the end and return its outcome."""
+        """Wait until the attempt has ended and return its outcome."""
         end = await self.result()
         return end.outcome
 
--- a/tests/support/clients.py
+++ b/tests/support/clients.py
@@ -1,4 +1,4 @@
-"""Clients on real sockets, and the gateway's parts that serve them."""
+"""Clients on real sockets, and the parts of the gateway that serve them."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 @dataclass
 class RecordingHandler:
-    """Keeps every request until a test replies; stands in for all that is behind the client listener."""
+    """Keeps every request until a test replies; replaces the dispatcher behind a client listener."""
 
     pending_replies: dict[str, PendingReply] = field(default_factory=dict)
     disconnected: list[str] = field(default_factory=list)
@@ -44,7 +44,7 @@
 
 
 class RunningListener(NamedTuple):
-    """A client listener that accepts connections at a port."""
+    """A client listener that accepts connections at a port, and the handler of its requests."""
 
     listener: ClientListener
     handler: RecordingHandler
@@ -55,7 +55,7 @@
 async def running_listener(
     max_connections: int = 100, memory_bytes: int = CLIENT_MEMORY_BYTES
 ) -> AsyncIterator[RunningListener]:
-    """A client listener with a recording handler."""
+    """Run a client listener whose requests a `RecordingHandler` keeps."""
     loop = asyncio.get_running_loop()
     handler = RecordingHandler()
     listener = ClientListener(
@@ -72,7 +72,7 @@
         connection.close()
 
 
-def create_dispatcher(  # noqa: PLR0913 - the parts and bounds that a test is about, by keyword
+def create_dispatcher(  # noqa: PLR0913 - tests pass the parts and limits that they depend on, by keyword
     policy_settings: Settings,
     policy: StubPolicy,
     *,
@@ -119,7 +119,7 @@
 
 
 class RunningDispatcher(NamedTuple):
-    """A dispatcher whose client listener accepts connections at a port."""
+    """A dispatcher, its scripted policy, and the client listener that accepts connections at a port."""
 
     dispatcher: Dispatcher
     policy: StubPolicy
@@ -131,7 +131,7 @@
 async def running_dispatcher(
     policy: StubPolicy | None = None, counter: CounterClient | None = None, max_connections: int = 10
 ) -> AsyncIterator[RunningDispatcher]:
-    """The sockets of clients and backends, joined to a scripted policy."""
+    """Run a client listener and a dispatcher with a scripted policy and an empty backend pool."""
     policy = policy or StubPolicy()
     dispatcher = create_dispatcher(
         settings(gateway_count=1, request_classes=(VIEW,)),
@@ -149,24 +149,24 @@
 
 
 async def connect(port: int) -> RespPeer:
-    """Connect a client that goes on with turns of the event loop."""
+    """Connect a client through the event loop."""
     return RespPeer(*await asyncio.open_connection(LOCAL, port))
 
 
 def connect_blocking(port: int, data: bytes = b"") -> socket.socket:
-    """Connect a client and send in one step: no turn of the gateway's event loop lies between."""
+    """Connect a client and send data; the gateway's event loop does not run in between."""
     client = socket.create_connection((LOCAL, port))
     client.sendall(data)
     return client
 
 
 async def peer_from_socket(client: socket.socket) -> RespPeer:
-    """Continue a client of `connect_blocking` with turns of the event loop."""
+    """Return a peer that uses a socket of `connect_blocking` through the event loop."""
     return RespPeer(*await asyncio.open_connection(sock=client))
 
 
 async def call_between_reads(callback: Callable[[], None]) -> None:
-    """Call back among the reads of one turn of the event loop: its timers come next, then new reads."""
+    """Call `callback` among the reads of one iteration of the event loop; its timers run before new reads."""
     loop = asyncio.get_running_loop()
     is_called = asyncio.Event()
     receiver, sender = socket.socketpair()
--- a/tests/support/event_loop.py
+++ b/tests/support/event_loop.py
@@ -1,4 +1,4 @@
-"""Runs asynchronous tests, and waits for what other tasks bring about."""
+"""Runs asynchronous tests, and waits for conditions that other tasks fulfil."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def run_in_loop(scenario: Callable[[], Awaitable[None]], timeout_s: float = 20) -> None:
-    """Run a scenario in an event loop of its own, for at most `timeout_s`."""
+    """Run a scenario in an event loop of its own, for at most `timeout_s` seconds."""
 
     async def limited() -> None:
         async with asyncio.timeout(timeout_s):
@@ -25,7 +25,7 @@
 
 
 def runs_in_loop(test: Callable[P, Awaitable[None]]) -> Callable[P, None]:
-    """Run an asynchronous test in an event loop of its own, within the time limit of `run_in_loop`."""
+    """Decorate an asynchronous test to run in `run_in_loop`, within its default time limit."""
 
     @functools.wraps(test)
     def run(*args: P.args, **kwargs: P.kwargs) -> None:
@@ -35,6 +35,6 @@
 
 
 async def wait_until(condition: Callable[[], object]) -> None:
-    """Wait for what other tasks bring about, until the test's time limit."""
+    """Poll a condition that other tasks fulfil; only the test's time limit bounds the wait."""
     while not condition():
         await asyncio.sleep(POLL_INTERVAL_S)
--- a/tests/support/fake_services.py
+++ b/tests/support/fake_services.py
@@ -1,4 +1,4 @@
-"""Fake backends, counter and discovery on loopback sockets."""
+"""Fakes of the backends, the counter and discovery, on loopback sockets."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class FakeServer:
-    """Listens on a port of its own and hands every connection to `handle_connection`."""
+    """Listens on a port of its own and passes every connection to `handle_connection`."""
 
     def __init__(self) -> None:
         self.open_connections: set[asyncio.StreamWriter] = set()
@@ -24,7 +24,7 @@
 
     @property
     def address(self) -> Address:
-        """The address at which it listens, once it has started."""
+        """The address at which the server listens, once it has started."""
         return Address(LOCAL, self.port)
 
     async def start(self) -> None:
@@ -61,14 +61,14 @@
 
 
 ScriptedReply = bytes | None
-"""What a scripted server sends: None sends nothing, b"" closes the connection."""
+"""The reply of a scripted server; None means no reply, and b"" closes the connection."""
 
 Script = Callable[[list[bytes]], Awaitable[ScriptedReply]]
-"""Returns the reply to a command or call, given its fields."""
+"""Returns the reply to a command or a counter call, given its fields."""
 
 
 def always(reply: ScriptedReply) -> Script:
-    """Return a script with the same reply to everything."""
+    """Return a script that gives the same reply to every command or call."""
 
     async def script(_fields: list[bytes]) -> ScriptedReply:
         return reply
@@ -77,7 +77,7 @@
 
 
 class FakeBackend(FakeServer):
-    """Replies to each command as `script` says, by default with a value."""
+    """Replies to each command with what `script` returns, by default a value."""
 
     def __init__(self, script: Script | None = None) -> None:
         super().__init__()
@@ -85,10 +85,10 @@
         self.received: list[list[bytes]] = []
         """The commands received, in order."""
         self.closed_by_gateway_count = 0
-        """How many connections the gateway closed."""
+        """Number of connections that the gateway closed."""
 
     async def serve(self, _command: list[bytes]) -> ScriptedReply:
-        """Reply with a value, without usage figures and load report."""
+        """Return a reply with a value, without usage figures and load report."""
         return b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 
     async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -104,7 +104,7 @@
 
 
 class FakeCounter(FakeServer):
-    """Keeps totals by name and responds with them, unless `script` returns another response."""
+    """Keeps totals by name; responds with the new total, or with what `script` returns if there is one."""
 
     def __init__(self, script: Script | None = None) -> None:
         super().__init__()
@@ -131,7 +131,7 @@
 
 
 class FakeDiscovery(FakeServer):
-    """Serves `snapshot` to calls without a version, and keeps watches open for what a test sends."""
+    """Responds to calls for a snapshot with `snapshot`; keeps watches open for lines that a test sends."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -154,17 +154,17 @@
         await reader.read()
 
     def send_line(self, line: bytes, watch: int = -1) -> None:
-        """Send a line on one of the watches, by default the newest."""
+        """Send a line on the watch with this index in `watches`, by default the newest."""
         self.watches[watch].write(b"%x\r\n%b\n\r\n" % (len(line) + 1, line))
 
     def send_update(self, version: int, *entries: dict[str, Any], is_snapshot: bool = False) -> None:
-        """Send a delta, or with `is_snapshot` a snapshot, on the newest watch."""
+        """Send a delta, or a snapshot if `is_snapshot` is set, on the newest watch."""
         message = endpoint_list_message(version, *entries, is_snapshot=is_snapshot)
         self.send_line(json.dumps(message).encode())
 
 
 class PausedDiscovery(FakeDiscovery):
-    """Accepts calls, and sends nothing until it is resumed."""
+    """Accepts calls, and sends nothing until `resumed` is set."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -178,12 +178,12 @@
 
 
 def endpoint_list_message(version: int, *entries: dict[str, Any], is_snapshot: bool = True) -> dict[str, Any]:
-    """Return a snapshot or a delta of the endpoint list as discovery sends it."""
+    """Return a snapshot or a delta of the endpoint list in the form in which discovery sends it."""
     return {"seq": version, "whole": is_snapshot, "hosts": list(entries)}
 
 
 def endpoint_entry(name: str, port: int, health: str = "up", born_ms: float = 0) -> dict[str, Any]:
-    """Return an entry of the endpoint list as discovery sends it."""
+    """Return an entry of the endpoint list in the form in which discovery sends it."""
     return {
         "host": name,
         "dial": f"{LOCAL}:{port}",
@@ -198,7 +198,7 @@
 
 @asynccontextmanager
 async def running_servers(*servers: FakeServer) -> AsyncIterator[None]:
-    """Servers that accept connections until the end of the block."""
+    """Start the servers, and stop them at the end of the block."""
     for server in servers:
         await server.start()
     try:
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -1,6 +1,7 @@
-"""A fleet of policies in virtual time, with its clients, counter and backends.
+"""Simulates a fleet of policies in virtual time, with its clients, counter and backends.
 
-Nothing here waits: events are handled in the order of their times, and all random draws come from one seed.
+No real time passes: events are handled in the order of their virtual times. All random draws come from one
+seed.
 """
 
 from __future__ import annotations
@@ -34,34 +35,34 @@
 from tests.support.virtual_scheduler import VirtualScheduler
 
 START_MS = 100_000.0
-"""The virtual time at which a fleet starts."""
+"""The virtual time at which a fleet starts, in milliseconds."""
 COUNTER_ONE_WAY_LATENCY_MS = 1.0
-"""From a gateway to the counter, and back."""
+"""Network latency in each direction between a gateway and the counter."""
 REQUEST_LIFETIME_MS = 3000.0
-"""From a request's arrival to its deadline."""
+"""Time from a request's arrival to its deadline."""
 
 
 class FleetEvent(Enum):
-    """What a fleet counts."""
+    """The events that a fleet counts."""
 
     REQUESTED = auto()
     FORWARDED_WITHIN_QUOTA = auto()
     FORWARDED_BEYOND_QUOTA = auto()
     REJECTED_WITHIN_QUOTA = auto()
-    """Rejected though the quota had a token for it."""
+    """A request that was rejected though the quota had a token for it."""
     REJECTED_BEYOND_QUOTA = auto()
     COUNTER_CALL_HANDLED = auto()
     COUNTER_CALL_REJECTED = auto()
     COUNTER_CALL_TIMED_OUT = auto()
-    """Handled, but later than its gateway waits."""
+    """A call that the counter handled after its gateway had stopped waiting for it."""
     HEDGED = auto()
-    """An attempt beside an earlier one of its request."""
+    """An attempt that started while an earlier attempt of its request was in flight."""
     RETRIED = auto()
-    """An attempt after all earlier ones of its request have ended."""
+    """An attempt that started after all earlier attempts of its request had ended."""
 
 
 class CountKey(NamedTuple):
-    """An event, and the plan of the customer that it concerns where it concerns one."""
+    """An event, and the plan of the customer that it concerns; the plan is empty if it concerns none."""
 
     event: FleetEvent
     plan: str = ""
@@ -73,13 +74,13 @@
 
     customer: Customer
     client_attempt: int
-    """1 for the first request of a client, more for its retries."""
+    """1 for a request that is no retry; each retry by the client adds 1."""
     attempt_count: int = 0
-    """Attempts that its gateway has started."""
+    """Number of attempts that the gateway has started for the request."""
 
 
 def exponential_latency(mean_ms: float) -> Callable[[random.Random, int], float]:
-    """Latencies of any backend that are drawn from an exponential distribution."""
+    """Return a function that draws the latency of any backend from an exponential distribution."""
     return lambda rng, _backend_id: rng.expovariate(1 / mean_ms)
 
 
@@ -89,24 +90,24 @@
 
 @dataclass(frozen=True)
 class FleetConditions:
-    """What a fleet's policies meet."""
+    """The conditions that a fleet's policies run under: counter, clients and backends."""
 
     seed: int = 1
     counter_calls_per_s: float = 1e9
     counter_queue_length: int = 20
-    """Calls that may wait at the counter; it rejects more."""
+    """Maximum number of calls that wait at the counter; it rejects further calls."""
     counter_timeout_ms: float = math.inf
-    """How long a gateway waits for the counter's response."""
+    """Maximum time that a gateway waits for the counter's response."""
     max_client_retries: int = 0
     min_client_retry_delay_ms: float = 200.0
-    """Least delay before a client retries; a longer Retry-After is kept."""
+    """Minimum delay before a client retries; the client waits longer if Retry-After is longer."""
     draw_latency_ms: Callable[[random.Random, int], float] = TYPICAL_LATENCY
-    """Draws the latency of a backend's response."""
+    """Draws the latency of a response, given the random generator and the backend's id."""
     backends: tuple[Endpoint, ...] = SIXTY_READY_BACKENDS
 
 
 class Fleet:
-    """Delivers the events of many gateways; `counts` holds what all gateways did together."""
+    """Delivers events to many gateways and carries out their actions; `counts` are over all gateways."""
 
     def __init__(
         self,
@@ -149,34 +150,34 @@
 
     @property
     def now(self) -> float:
-        """The virtual time in milliseconds."""
+        """The current virtual time in milliseconds."""
         return self.scheduler.now
 
     def run(self, seconds: float) -> Counter[CountKey]:
-        """Let virtual time pass; returns the counts since the start of the fleet."""
+        """Run for some virtual time; return the counts since the start of the fleet."""
         self.scheduler.advance(seconds * MS_PER_S)
         return self.counts
 
     def stall(self, seconds: float) -> None:
-        """Let virtual time pass during which nothing is handled; what falls due is handled late."""
+        """Let virtual time pass without handling any event; those due in that time are handled late."""
         self.scheduler.stall(seconds * MS_PER_S)
 
     def count(self, event: FleetEvent, plan: str = "") -> None:
-        """Count an event."""
+        """Add 1 to the count of an event for a plan."""
         self.counts[CountKey(event, plan)] += 1
 
     def schedule_next_request(self, customer: Customer, rate: float) -> None:
-        """Draw the time of a customer's next request, at a rate a second."""
+        """Draw the time of a customer's next request; `rate` is the mean number of requests per second."""
         delay_ms = self.rng.expovariate(rate) * MS_PER_S
         self.scheduler.schedule(delay_ms, lambda: self.send_new_request(customer))
 
     def send_new_request(self, customer: Customer) -> None:
-        """Send a customer's next request, which is no retry."""
+        """Send a request that is no retry, and schedule the customer's next one."""
         self.schedule_next_request(customer, customer.rate)
         self.send_request(customer)
 
     def send_request(self, customer: Customer, client_attempt: int = 1) -> None:
-        """Deliver a request to one of the customer's gateways."""
+        """Deliver a request to one of the customer's gateways, drawn by their weights."""
         request_id = f"r{next(self._request_numbers)}"
         (index,) = self.rng.choices(customer.gateways, customer.weights)
         self.requests[request_id] = FleetRequest(customer, client_attempt)
@@ -195,7 +196,7 @@
         self.deliver(index, event)
 
     def deliver(self, index: int, event: Event) -> None:
-        """Let a gateway handle an event, and carry out its actions."""
+        """Let a gateway handle an event, and carry out the actions that it returns."""
         for action in self.gateways[index].handle(self.now, event):
             self.carry_out(index, action)
 
@@ -216,7 +217,7 @@
                 self.finish_without_result(request_id, 0.0)
 
     def start_attempt(self, index: int, request_id: str, backend_id: int) -> None:
-        """Let a backend serve an attempt."""
+        """Start an attempt, which ends with a success after a drawn latency."""
         request = self.requests[request_id]
         attempt_number = request.attempt_count
         request.attempt_count += 1
@@ -234,7 +235,7 @@
         self.scheduler.schedule(latency_ms, lambda: self.deliver(index, ended))
 
     def finish_without_result(self, request_id: str, retry_after_ms: float) -> None:
-        """The client has got a rejection or a failure; it retries if it has retries left."""
+        """Handle a rejected or failed request: its client retries if it has retries left."""
         request = self.requests[request_id]
         if not request.attempt_count:
             self._count_rejected(request.customer)
--- a/tests/support/fleet_customers.py
+++ b/tests/support/fleet_customers.py
@@ -1,4 +1,4 @@
-"""The customers of a fleet, and the true state of their quotas."""
+"""The customers of a simulated fleet, and reference token buckets of their quotas."""
 
 from __future__ import annotations
 
@@ -12,18 +12,19 @@
 
 @dataclass
 class Customer:
-    """A customer's rate of requests, and the gateways that it sends them to."""
+    """A customer, its rate of requests and the gateways that it sends them to."""
 
     name: str
     plan: Plan
     rate: float
-    """Requests a second, without retries."""
+    """Mean number of requests per second, without retries."""
     gateways: list[int]
+    """Indexes of the customer's gateways."""
     weights: list[float] = field(default_factory=list)
-    """Relative frequencies of the gateways; unless given, that of place n is 1/n."""
+    """Relative frequencies of the gateways; by default 1/n for the n-th gateway, counted from 1."""
 
     def __post_init__(self) -> None:
-        """Set the default weights."""
+        """Set the default weights unless weights are given."""
         self.weights = self.weights or [1 / (place + 1) for place in range(len(self.gateways))]
 
 
@@ -37,22 +38,22 @@
 
     @classmethod
     def full(cls, plan: Plan, now: float) -> ReferenceQuota:
-        """A quota whose burst is fully available."""
+        """Return a quota whose burst is fully available."""
         return cls(plan, plan.burst, now)
 
     def take(self, now: float) -> bool:
-        """Take one token; False if there is none."""
+        """Take one token if there is one; return whether there was."""
         is_available = self.has_token(now)
         if is_available:
             self.tokens -= 1
         return is_available
 
     def has_token(self, now: float) -> bool:
-        """Whether one request would be within the quota."""
+        """Return whether one request would be within the quota."""
         return self.refill(now) >= 1
 
     def refill(self, now: float) -> float:
-        """Add the tokens earned since the last refill; returns the tokens held, infinite without a quota."""
+        """Add the tokens earned since the last refill; return the tokens held, infinite without a quota."""
         if not self.plan.rate:
             return math.inf
         earned = (now - self.refilled_at) / MS_PER_S * self.plan.rate
--- a/tests/support/gateway_harness.py
+++ b/tests/support/gateway_harness.py
@@ -1,4 +1,4 @@
-"""A whole gateway on loopback sockets, with the services round it."""
+"""A complete gateway on loopback sockets, with fakes of the services that it uses."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from tests.support.resp_peer import LOCAL, RespPeer
 
 QUICK_SHUTDOWN = ShutdownSchedule(keep_serving_s=0.01, fail_requests_s=3.4)
-"""No front sends further connections to a gateway in tests, so it need not keep serving."""
+"""Nothing in front of the gateway sends further connections in tests, so it need not keep serving."""
 
 SETTINGS: dict[str, Any] = {
     "az": "a",
@@ -53,9 +53,9 @@
 
 
 class GatewayHarness:
-    """A gateway with its surroundings; `backends` are named h0, h1, ... in the endpoint list.
+    """A gateway and the fakes that it uses; `backends` are named h0, h1, ... in the endpoint list.
 
-    `limits` are those of the platform's configuration, by its keys.
+    `limits` are entries of the configuration's "limits", by their keys.
     """
 
     def __init__(self, *backends: FakeBackend, counter: FakeCounter | None = None, **limits: Any) -> None:
@@ -76,7 +76,7 @@
         return [endpoint_entry(f"h{number}", backend.port) for number, backend in enumerate(self.backends)]
 
     def config(self) -> dict[str, Any]:
-        """The gateway's configuration, once the servers have their ports."""
+        """Return the configuration; call it once the servers have started, as it contains their ports."""
         if not self.discovery.snapshot["hosts"]:
             self.discovery.snapshot["hosts"] = self.hosts()
         return {
@@ -91,19 +91,19 @@
         }
 
     async def client(self) -> RespPeer:
-        """A new connection to the gateway."""
+        """Connect a client to the gateway; `running_gateway` closes the connection."""
         peer = RespPeer(*await asyncio.open_connection(LOCAL, self.port))
         self.peers.append(peer)
         return peer
 
     async def request(self, peer: RespPeer, **attributes: Any) -> Any:
-        """The reply to a request of this peer; `attributes` as for `request_command`."""
+        """Send a request and return its reply; `attributes` are the arguments of `request_command`."""
         peer.send(*request_command(**attributes))
         return await peer.receive()
 
 
 async def wait_until_ready(gateway: asyncio.Task[None], ready: asyncio.Future[int]) -> int:
-    """The port of a gateway that starts; raises what its start raises."""
+    """Return the port of a gateway once it has started; raise the exception of a start that failed."""
     waited_for: set[asyncio.Future[Any]] = {gateway, ready}
     await asyncio.wait(waited_for, return_when=asyncio.FIRST_COMPLETED)
     if gateway.done():
@@ -115,7 +115,7 @@
 async def running_gateway(
     harness: GatewayHarness, shutdown_schedule: ShutdownSchedule = QUICK_SHUTDOWN
 ) -> AsyncIterator[GatewayHarness]:
-    """A gateway that serves, watches the endpoint list and shuts down at the end of the block."""
+    """Run a gateway that serves and watches the endpoint list; it shuts down at the end of the block."""
     async with running_servers(*harness.servers):
         ready: asyncio.Future[int] = asyncio.get_running_loop().create_future()
         gateway = GatewayServer(parse_config(harness.config()), shutdown_schedule=shutdown_schedule)
--- a/tests/support/gateway_process.py
+++ b/tests/support/gateway_process.py
@@ -1,4 +1,4 @@
-"""The gateway as a process of its own, with the servers that it talks to."""
+"""Runs the gateway as a process of its own, with the servers that it talks to."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def gateway_environment(config: Path) -> dict[str, str]:
-    """The environment of a gateway that reads `config`."""
+    """Return the environment of a gateway process that reads its configuration from `config`."""
     return {**os.environ, "LB_CONFIG": str(config)}
 
 
@@ -35,14 +35,14 @@
 
 
 async def end_process(process: asyncio.subprocess.Process) -> None:
-    """Kill it, if it has not ended by itself."""
+    """Kill a process that has not ended by itself, and wait for its end."""
     if process.returncode is None:
         process.kill()
     await process.wait()
 
 
 async def connect_when_listening(port: int) -> RespPeer:
-    """A client's connection, as soon as the gateway accepts it."""
+    """Connect a client as soon as the gateway listens; until then, connections are refused."""
     while True:
         try:
             return RespPeer(*await asyncio.open_connection(LOCAL, port))
@@ -51,9 +51,9 @@
 
 
 def reserve_port() -> socket.socket:
-    """A socket that reserves its port while it is open, though a server may listen there.
+    """Return a socket that reserves its port while it is open; a server may listen on that port.
 
-    A port that is merely free may be given to any other process before the server listens.
+    A port that is only free, not reserved, may be assigned to any other process before the server listens.
     """
     reservation = socket.socket()
     reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -67,7 +67,7 @@
 
 @dataclass
 class GatewayProcess:
-    """A running gateway, the file that it is configured by and the port that it listens on."""
+    """A running gateway process, its configuration file and the port that it listens on."""
 
     process: asyncio.subprocess.Process
     config: Path
@@ -82,7 +82,7 @@
     command: Sequence[str] = GATEWAY_COMMAND,
     stderr: int | IO[bytes] = asyncio.subprocess.PIPE,
 ) -> AsyncIterator[GatewayProcess]:
-    """A gateway process; the harness's servers and the others run as long as it does."""
+    """Run a gateway process; the servers of the harness and the other servers run as long as it does."""
     with reserve_port() as reservation:
         async with running_servers(*harness.servers, *other_servers):
             port = port_of(reservation)
--- a/tests/support/invalid_configurations.py
+++ b/tests/support/invalid_configurations.py
@@ -1,4 +1,4 @@
-"""Texts of configuration files that a gateway must not accept."""
+"""Configuration files that a gateway must reject."""
 
 _ADDRESS_FIELDS = '{"listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", '
 
@@ -14,4 +14,4 @@
     "nested too deeply": "[" * 100_000,
     "not UTF-8": "\udcff",
 }
-"""By what is wrong with them; to be written with `errors="surrogateescape"`."""
+"""Contents of the files by the fault in them; write them with `errors="surrogateescape"`."""
--- a/tests/support/manual_server.py
+++ b/tests/support/manual_server.py
@@ -1,4 +1,4 @@
-"""Servers whose every step a test makes itself."""
+"""Servers whose connections a test accepts and handles itself."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ManualServer:
-    """Stands in for a backend or the counter; a test accepts its connections and writes to them itself."""
+    """Replaces a backend or the counter; a test accepts its connections and writes to them itself."""
 
     def __init__(self) -> None:
         self.listener = socket.create_server((LOCAL, 0))
@@ -22,7 +22,7 @@
         self.address = Address(*self.listener.getsockname())
 
     async def accept_and_receive(self, command_count: int) -> socket.socket:
-        """Accept a connection, and return it once so many commands have been received in full."""
+        """Accept a connection; return it once `command_count` complete commands have been received."""
         connection = await self.accept()
         peer = RespPeer(*await asyncio.open_connection(sock=connection.dup()))
         for _ in range(command_count):
@@ -47,7 +47,7 @@
 
 
 class FullAcceptQueue(NamedTuple):
-    """A listening socket on which connections are established late, and the clients that fill its queue."""
+    """A listening socket that establishes connections late, and the clients that fill its accept queue."""
 
     listener: socket.socket
     queued_clients: list[socket.socket]
@@ -55,7 +55,7 @@
 
 @contextlib.contextmanager
 def full_accept_queue() -> Iterator[FullAcceptQueue]:
-    """A listening socket whose accept queue is full until the clients in it are closed and accepted."""
+    """Open a listening socket whose accept queue is full until the queued clients are closed and accepted."""
     with contextlib.ExitStack() as stack:
         listener = stack.enter_context(socket.create_server((LOCAL, 0), backlog=0))
         queued_clients = [stack.enter_context(socket.socket()) for _ in range(3)]
--- a/tests/support/policy_harness.py
+++ b/tests/support/policy_harness.py
@@ -1,4 +1,4 @@
-"""One gateway's policy in virtual time: tests deliver its events and look at its actions."""
+"""Runs one gateway's policy in virtual time; tests deliver events to it and check its actions."""
 
 from __future__ import annotations
 
@@ -31,13 +31,13 @@
 from tests.support.virtual_scheduler import VirtualScheduler
 
 START_MS = 10_000.0
-"""The virtual time at which a harness starts."""
+"""The virtual time at which a harness starts, in milliseconds."""
 DEFAULT_ENDPOINTS = (create_endpoint(1), create_endpoint(2, cell=1), create_endpoint(3))
 """Three ready backends, two of them in one cell."""
 
 
 class TimedAction(NamedTuple):
-    """An action, and the time at which the policy returned it."""
+    """An action, and the virtual time in milliseconds at which the policy returned it."""
 
     at: float
     action: Action
@@ -49,7 +49,7 @@
     def __init__(
         self, endpoints: Iterable[Endpoint] = DEFAULT_ENDPOINTS, seed: int = 1, **changes: Any
     ) -> None:
-        """Create a policy that knows the endpoints; `changes` are of the default settings."""
+        """Create a policy that knows the endpoints; `changes` replace fields of the default settings."""
         self.policy = GatewayPolicy(settings(**changes), seed)
         self.scheduler = VirtualScheduler(START_MS)
         self.timed_actions: list[TimedAction] = []
@@ -60,26 +60,26 @@
     def without_quotas(
         cls, endpoints: Iterable[Endpoint] = DEFAULT_ENDPOINTS, seed: int = 1, **changes: Any
     ) -> Self:
-        """A harness whose requests have no quota, so that backends and load alone decide."""
+        """Return a harness whose requests have no quota, so that only the backends and the load matter."""
         return cls(endpoints, seed, plans=(UNLIMITED,), counter_available=False, **changes)
 
     @property
     def now(self) -> float:
-        """The virtual time in milliseconds."""
+        """The current virtual time in milliseconds."""
         return self.scheduler.now
 
     @property
     def actions(self) -> list[Action]:
-        """All actions since the start."""
+        """All actions that the policy has returned, in order."""
         return [action for _, action in self.timed_actions]
 
     @property
     def next_request_id(self) -> str:
-        """The id that the next request will have."""
+        """The id of the next request that `request` delivers."""
         return f"r{self._last_request_number + 1}"
 
     def deliver(self, event: Event) -> list[Action]:
-        """Let the policy handle an event now; returns the actions that follow."""
+        """Let the policy handle an event now; return its actions."""
         actions = self.policy.handle(self.now, event)
         for action in actions:
             self.timed_actions.append(TimedAction(self.now, action))
@@ -96,7 +96,7 @@
         gateway_set_size: int = 2,
         remaining_ms: float = 3000,
     ) -> list[Action]:
-        """Deliver a request of one cost unit that has so much time until its deadline."""
+        """Deliver a request that costs one unit and has `remaining_ms` until its deadline."""
         request_id = self.next_request_id
         self._last_request_number += 1
         return self.deliver(
@@ -120,7 +120,7 @@
         attempt_number: int = 0,
         request_finished: bool | None = None,
     ) -> list[Action]:
-        """Deliver the end of an attempt; unless stated, its request is finished if the outcome is OK."""
+        """Deliver the end of an attempt; by default, its request is finished if the outcome is OK."""
         if request_finished is None:
             request_finished = outcome is Outcome.OK
         return self.deliver(
@@ -141,34 +141,34 @@
         return self.deliver(CounterResponse(call.name, outcome, total))
 
     def pass_time(self, milliseconds: float) -> list[Action]:
-        """Let time pass, firing the timers that fall due; returns the actions that follow."""
+        """Let virtual time pass and fire the timers that fall due; return the policy's actions."""
         first_new = len(self.timed_actions)
         self.scheduler.advance(milliseconds)
         return [action for _, action in self.timed_actions[first_new:]]
 
     def stall(self, milliseconds: float) -> None:
-        """Let time pass during which no timer fires; those that fall due fire late."""
+        """Let virtual time pass without firing any timer; those due in that time fire late."""
         self.scheduler.stall(milliseconds)
 
     def last_attempt_number(self, request_id: str) -> int:
-        """The number of the latest attempt of a request."""
+        """Return the number of a request's latest attempt, counted from 0."""
         attempts = [attempt for attempt in attempts_in(self.actions) if attempt.request_id == request_id]
         return len(attempts) - 1
 
     def lease(self, customer: str = "c") -> Lease:
-        """The lease of a customer that has sent a request."""
+        """Return the lease of a customer that has sent a request."""
         return self.policy.leases.by_customer[customer]
 
     def set_counter_capacity(self, capacity: float) -> None:
-        """Let the policy estimate that the counter has capacity for this fraction of the calls."""
+        """Set the policy's estimate of the fraction of counter calls that the counter has capacity for."""
         self.policy.counter_throttle.capacity = capacity
 
     def exhaust_retry_budget(self) -> None:
-        """Let the policy have spent all of its retry budget."""
+        """Set the policy's retry budget to 0, as if it were spent."""
         self.policy.retries.budget = 0.0
 
     def set_response_rate(self, responses_per_s: float) -> None:
-        """Let the policy have measured this rate of responses just now."""
+        """Set the policy's response rate, as if it had measured it just now."""
         self.policy.stats.response_rate = responses_per_s
         self.policy.stats.rate_updated_at = self.now
 
@@ -194,19 +194,19 @@
 
 
 def only_attempt_in(actions: Iterable[Action]) -> StartAttempt:
-    """The attempt that the actions start; there must be exactly one."""
+    """Return the attempt that the actions start; there must be exactly one."""
     (attempt,) = attempts_in(actions)
     return attempt
 
 
 def only_counter_call_in(actions: Iterable[Action]) -> IncrementCounter:
-    """The call to the counter among the actions; there must be exactly one."""
+    """Return the counter call among the actions; there must be exactly one."""
     (call,) = counter_calls_in(actions)
     return call
 
 
 def backends_used(harness: PolicyHarness, request_count: int) -> set[int]:
-    """Serve a number of requests one after another; returns the backends of their attempts."""
+    """Serve requests one after another; return the ids of the backends of their attempts."""
     used = set()
     for _ in range(request_count):
         attempt = only_attempt_in(harness.request())
@@ -220,7 +220,7 @@
 def serve_steadily(
     harness: PolicyHarness, request_count: int = 60, *, latency_ms: float = 20, pause_ms: float = 20
 ) -> None:
-    """Serve requests one after another, so that the policy learns the usual latency and response rate."""
+    """Serve requests one after another, so that the policy measures the usual latency and response rate."""
     for _ in range(request_count):
         attempt = only_attempt_in(harness.request())
         harness.pass_time(latency_ms)
--- a/tests/support/policy_settings.py
+++ b/tests/support/policy_settings.py
@@ -29,9 +29,9 @@
 )
 """A plan with a hard limit and a concurrency limit."""
 WITH_OVER_QUOTA_REVENUE = Plan("bonus", rate=1, burst=2, over_quota_revenue=0.2)
-"""A plan whose requests earn something beyond the quota and cost nothing."""
+"""A plan whose requests beyond the quota earn revenue and have no cost."""
 UNLIMITED = Plan("basic")
-"""A plan without a quota, under the name that requests have unless a test says otherwise."""
+"""A plan without a quota; it has the name of `BASIC`, the plan that requests name by default."""
 
 SAFETY_RULES = SafetyRules(
     drain_grace_ms=1000, initial_capacity=0.2, slow_start_ms=10_000, overload_multiple=2
@@ -53,5 +53,5 @@
 
 
 def settings(**changes: Any) -> Settings:
-    """The default settings with some of their fields changed."""
+    """Return the default settings with some of their fields changed."""
     return replace(DEFAULT_SETTINGS, **changes)
--- a/tests/support/reference_subset.py
+++ b/tests/support/reference_subset.py
@@ -1,4 +1,4 @@
-"""A plain reference implementation of deterministic subsetting, to compare the policy's subset with."""
+"""A simple reference implementation of deterministic subsetting, to compare the policy's subset with."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from tests.support.endpoints import READY, REMOVED
 
 FLEET_GATEWAY_COUNT = 3_700
-"""Gateways of the fleet that the long lists are for."""
+"""Number of gateways of the fleet in tests with long endpoint lists."""
 
 
 class ReferenceSubset:
-    """One gateway's subset of the endpoint list; sorts and hashes the complete list whenever it is read."""
+    """One gateway's subset of the endpoint list; sorts and hashes all ready backends at every read."""
 
     def __init__(self, gateway_index: int, gateway_count: int) -> None:
         self.gateway_index = gateway_index
@@ -23,7 +23,7 @@
         self.listed: dict[int, Endpoint] = {}
 
     def apply(self, kind: UpdateKind, endpoints: Iterable[Endpoint]) -> None:
-        """Apply a complete update: anything but a delta drops the backends that it omits."""
+        """Apply a complete update; an update that is no delta drops the backends that it omits."""
         endpoints = list(endpoints)
         if kind is not UpdateKind.DELTA:
             listed_ids = {endpoint.backend_id for endpoint in endpoints}
@@ -39,11 +39,11 @@
                 self.listed[endpoint.backend_id] = endpoint
 
     def ready_ids(self) -> list[int]:
-        """The ready backends, in the order of the list."""
+        """Return the ids of the ready backends, in the order of the list."""
         return [endpoint.backend_id for endpoint in self.listed.values() if endpoint.state is READY]
 
     def backend_ids(self) -> list[int]:
-        """The backends of this gateway's window, in the order of its round."""
+        """Return the ids of the backends in this gateway's window, in the order of its round."""
         ready_ids = self.ready_ids()
         ready_count = len(ready_ids)
         min_size = max(MIN_SUBSET_SIZE, MIN_GATEWAYS_PER_BACKEND * ready_count / max(1, self.gateway_count))
--- a/tests/support/replies.py
+++ b/tests/support/replies.py
@@ -1,4 +1,4 @@
-"""Replies as the tests' backends send them and as clients receive them."""
+"""Replies as backends send them and as clients receive them."""
 
 from __future__ import annotations
 
@@ -11,5 +11,5 @@
 
 
 def is_error(reply: object) -> bool:
-    """Whether a client received an error reply, which is not a rejection for lack of capacity."""
+    """Return whether a client's reply is an error other than a rejection for lack of capacity."""
     return isinstance(reply, hiredis.ReplyError) and str(reply).startswith("ERR")
--- a/tests/support/request_commands.py
+++ b/tests/support/request_commands.py
@@ -1,4 +1,4 @@
-"""The request commands that clients send."""
+"""Builds the request commands that clients send."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from tests.support.resp_peer import encode_command
 
 
-def request_command(  # noqa: PLR0913 - a test names the attributes that it is about
+def request_command(  # noqa: PLR0913 - tests pass the attributes that they depend on, by keyword
     id: bytes = b"9b1f03aa5c7e2d41",
     *,
     request_class: bytes = b"view",
@@ -35,5 +35,5 @@
 
 
 def pipelined_requests(ids: Iterable[bytes]) -> bytes:
-    """Return encoded request commands, one after another."""
+    """Return the encoded request commands with these ids, one after another."""
     return b"".join(encode_command(*request_command(id)) for id in ids)
--- a/tests/support/resp_peer.py
+++ b/tests/support/resp_peer.py
@@ -31,7 +31,7 @@
         self.writer.write(encode_command(*arguments))
 
     async def receive(self) -> Any:
-        """Return the next command or reply; None at the end of the connection."""
+        """Return the next command or reply, or None once the connection has ended."""
         while (message := self._parser.gets()) is Ellipsis:
             try:
                 data = await self.reader.read(READ_BYTES)
--- a/tests/support/simulated_counter.py
+++ b/tests/support/simulated_counter.py
@@ -1,4 +1,4 @@
-"""A counter service in virtual time, which handles one call after another."""
+"""Simulates the counter in virtual time; it handles one call after another."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class CounterResult(NamedTuple):
-    """What a gateway gets for a call, and how long after the call arrived at the counter."""
+    """The result of a call as its gateway gets it; `latency_ms` starts when the call reaches the counter."""
 
     outcome: Outcome
     total: float
@@ -17,7 +17,7 @@
 
 
 class SimulatedCounter:
-    """Totals by name. Calls that no gateway waits for any more are handled too, and delay later ones."""
+    """Keeps totals by name; a call that its gateway no longer waits for is handled too and delays others."""
 
     def __init__(
         self, *, calls_per_s: float, queue_length: int, timeout_ms: float, one_way_latency_ms: float
--- a/tests/support/slow_start_fleet.py
+++ b/tests/support/slow_start_fleet.py
@@ -1,6 +1,7 @@
-"""A fleet in virtual time some of whose backends restart together, and what those receive.
+"""Simulates a fleet some of whose backends restart together, and records the attempts that those receive.
 
-Backends work off a queue, fail or hang; the work of a request is the same in all of its attempts.
+The fleet runs in virtual time. A backend processes a queue of requests, fails at once or hangs; the work of a
+request is the same in all of its attempts.
 """
 
 from __future__ import annotations
@@ -23,63 +24,63 @@
 
 FREE = Plan("free")
 CONCURRENCY = 2
-"""Requests that a backend processes at once."""
+"""Maximum number of requests that a backend processes at the same time."""
 QUEUE_LENGTH = 40
-"""Requests that may wait at a backend; it rejects more."""
+"""Maximum number of requests that wait at a backend; it rejects further requests."""
 BACKENDS_PER_CELL = 4
 ROUND_TRIP_MS = 2.0
 FAILURE_MS = 5.0
-"""Latency of a response from a backend that fails at once."""
+"""Latency of a response from a backend that fails every request at once."""
 LONG_WORK = 3.0
-"""The least work of a long request, in requests of mean work."""
+"""Minimum work of a long request, as a multiple of the mean work."""
 CUSTOMERS_PER_GATEWAY = 3
 CLIENT_RETRY_DELAY_MS = 60.0
 
 DrawWork = Callable[[random.Random], float]
-"""Draws the work of a request, in requests of mean work."""
+"""Draws the work of a request, as a multiple of the mean work."""
 
 
 def mean_work(_: random.Random) -> float:
-    """The same for every request."""
+    """Return the same work for every request."""
     return 1.0
 
 
 def uneven_work(rng: random.Random) -> float:
-    """One request in twenty takes three to eight times the mean; the mean of all is 1."""
+    """Draw work with a mean of 1; one request in twenty takes three to eight times the mean."""
     is_long = rng.random() < 0.05
     return rng.uniform(LONG_WORK, 8.0) if is_long else rng.expovariate(0.95 / 0.725)
 
 
 @dataclass(frozen=True)
 class Scenario:
-    """A fleet, some of whose backends restart together."""
+    """The size of a fleet some of whose backends restart together, its load and its slow start settings."""
 
     gateway_count: int
     backend_count: int
     restarted_count: int
-    """Backends that restart together, the last of the list."""
+    """Number of backends that restart together; they are the last of the list."""
     faulty_count: int
-    """Backends that fail at once or hang, half of them each, the first of the list."""
+    """Number of backends that are faulty, the first of the list; half of them hang, half fail at once."""
     capacity: float = 11.0
-    """Requests of mean work a second that a warm backend processes."""
+    """Number of requests of mean work that a warm backend processes per second."""
     load: float = 0.85
-    """Requested work, as a fraction of the capacity of all backends once they are warm."""
+    """Requested work, as a fraction of the capacity of all backends when they are warm."""
     burst_factor: float = 1.5
-    """Factor of the load in every third second."""
+    """Factor by which the load is higher in every third second."""
     initial_capacity: float = 0.18
     slow_start_ms: float = 5_000.0
     overload_multiple: float = 4.0
     window_ms: float = 1_000.0
 
     def slow_start_fraction(self, age_ms: float) -> float:
-        """The fraction of its capacity that a backend has at an age."""
+        """Return the fraction of its capacity that a backend of an age has."""
         gained = (1 - self.initial_capacity) * max(0.0, age_ms) / self.slow_start_ms
         return min(1.0, self.initial_capacity + gained)
 
     def work_budget(self, age_ms: float) -> float:
-        """The work that a backend may receive in a window that begins at an age.
+        """Return the work that a backend may receive in a time window that begins at an age of the backend.
 
-        That is N requests of mean work, which the settings allow, and 2 x root of N + 2 for random variation.
+        The settings allow N requests of mean work; 2 * sqrt(N) + 2 are added for random variation.
         """
         capacity = self.overload_multiple * self.slow_start_fraction(age_ms) * self.capacity
         allowed = capacity * self.window_ms / 1000
@@ -87,7 +88,7 @@
 
 
 class AttemptKey(NamedTuple):
-    """Identifies an attempt."""
+    """Identifies an attempt by its request and its number, counted from 0."""
 
     request_id: str
     number: int
@@ -102,34 +103,34 @@
 
 
 class ReceivedAttempt(NamedTuple):
-    """An attempt that a restarted backend received, at an age of the backend."""
+    """The work of an attempt that a restarted backend received, and the backend's age at that time."""
 
     age_ms: float
     work: float
 
 
 class BackendResult(NamedTuple):
-    """How an attempt ends at its backend."""
+    """The outcome of an attempt at its backend, and its latency."""
 
     outcome: Outcome
     latency_ms: float
 
 
 class BackendQueue:
-    """The requests that a backend processes and those that wait for it."""
+    """The requests that a backend processes, and those that wait at the backend."""
 
     def __init__(self, now: float = 0.0) -> None:
         self._slots_free_at = [now] * CONCURRENCY
         self._waiting_until: deque[float] = deque()
 
     def is_full(self, now: float) -> bool:
-        """Whether no further request may wait."""
+        """Return whether the queue has no place for a further request."""
         while self._waiting_until and self._waiting_until[0] <= now:
             self._waiting_until.popleft()
         return len(self._waiting_until) >= QUEUE_LENGTH
 
     def add(self, now: float, work_ms: float) -> float:
-        """Add a request that occupies one of the slots for so long; returns the time of its end."""
+        """Add a request that occupies one slot for `work_ms`; return the time of its end."""
         begins_at = max(now, heapq.heappop(self._slots_free_at))
         ends_at = begins_at + work_ms
         heapq.heappush(self._slots_free_at, ends_at)
@@ -138,12 +139,12 @@
 
 
 class SlowStartFleet(Fleet):
-    """Cancelled attempts end at once, and a hedged request runs beside the first attempt."""
+    """Runs a scenario; cancelled attempts end at once, and hedged attempts run beside the first attempt."""
 
     def __init__(self, scenario: Scenario, seed: int, draw_work: DrawWork) -> None:
         self.scenario = scenario
         self.received_by_backend: dict[int, list[ReceivedAttempt]] = {}
-        """By restarted backend."""
+        """Attempts received by each restarted backend, by the backend's id."""
         self._draw_work = draw_work
         self._work_rng = random.Random(f"work {seed}")
         self._work_by_request: dict[str, float] = {}
@@ -174,7 +175,7 @@
         )
 
     def _create_customers(self, seed: int) -> list[Customer]:
-        """Customers of equal rates; few gateways get most of their requests."""
+        """Return customers of equal rates; each sends most of its requests to few gateways."""
         scenario = self.scenario
         rng = random.Random(f"callers {seed}")
         fleet_rate = scenario.load * scenario.capacity * scenario.backend_count
@@ -192,7 +193,7 @@
         return create_endpoint(backend_id, started_at=started_at, cell=backend_id // BACKENDS_PER_CELL)
 
     def restart_backends(self) -> None:
-        """Restart the last backends, and notify all gateways."""
+        """Restart the last backends of the list, and notify all gateways."""
         scenario = self.scenario
         backend_ids = range(scenario.backend_count - scenario.restarted_count, scenario.backend_count)
         for backend_id in backend_ids:
@@ -205,7 +206,7 @@
             self.deliver(index, update)
 
     def send_new_request(self, customer: Customer) -> None:
-        """Send a customer's next request; more come in every third second."""
+        """Send a request, and schedule the customer's next one; the rate is higher in every third second."""
         is_burst = int(self.now // MS_PER_S) % 3 == 0
         self.schedule_next_request(
             customer, customer.rate * (self.scenario.burst_factor if is_burst else 1.0)
@@ -213,7 +214,7 @@
         self.send_request(customer)
 
     def carry_out(self, index: int, action: Action) -> None:
-        """End cancelled attempts; all else as in any fleet."""
+        """End a cancelled attempt; carry out all other actions as in any fleet."""
         if isinstance(action, CancelAttempt):
             key = AttemptKey(action.request_id, action.attempt_number)
             self.scheduler.schedule(0.0, lambda: self._end_attempt(key, Outcome.CANCELLED))
@@ -235,7 +236,7 @@
         self.scheduler.schedule(latency_ms, lambda: self._end_attempt(key, outcome))
 
     def finish_without_result(self, request_id: str, retry_after_ms: float) -> None:
-        """The request is finished for all of its attempts."""
+        """Mark a rejected or failed request as finished, also for its attempts that have not ended."""
         self._finished_requests.add(request_id)
         super().finish_without_result(request_id, retry_after_ms)
 
@@ -250,13 +251,13 @@
         self.count(FleetEvent.HEDGED if is_hedge else FleetEvent.RETRIED)
 
     def _record_received(self, backend_id: int, work: float) -> None:
-        """Record all that is sent to a restarted backend, including what it rejects."""
+        """Record every attempt that is sent to a restarted backend, including those that it rejects."""
         if backend_id in self._restarted_at:
             age_ms = self.now - self._restarted_at[backend_id]
             self.received_by_backend[backend_id].append(ReceivedAttempt(age_ms, work))
 
     def _serve(self, backend_id: int, work: float) -> BackendResult:
-        """The result of an attempt that starts now."""
+        """Return the result of an attempt that starts now; add the attempt to the queue unless it is full."""
         if backend_id < self.scenario.faulty_count:
             hangs = backend_id % 2 == 0
             if hangs:
--- a/tests/support/stub_policy.py
+++ b/tests/support/stub_policy.py
@@ -1,4 +1,4 @@
-"""A scripted stand-in for the policy."""
+"""A scripted policy."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 
 class StubPolicy:
-    """Records its events; returns the actions, or raises the error, that a test set for the event's type."""
+    """Records events; returns the actions, or raises the exception, that a test set for an event's type."""
 
     def __init__(self) -> None:
         self.events: list[Event] = []
         self.actions_by_event: dict[type, list[Action] | Exception] = {}
 
-    def handle(self, now: float, event: Event) -> list[Action]:  # noqa: ARG002 - the signature of the policy
+    def handle(self, now: float, event: Event) -> list[Action]:  # noqa: ARG002 - the policy's signature
         self.events.append(event)
         scripted = self.actions_by_event.get(type(event), [])
         if isinstance(scripted, Exception):
--- a/tests/support/virtual_scheduler.py
+++ b/tests/support/virtual_scheduler.py
@@ -1,4 +1,4 @@
-"""Callbacks in virtual time: nothing waits, and the clock moves from one callback to the next."""
+"""Runs callbacks in virtual time: the clock jumps from one callback to the next, and no real time passes."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class VirtualScheduler:
-    """A clock in milliseconds, and what is due at later times."""
+    """A clock in milliseconds, and the callbacks that are due at later times."""
 
     def __init__(self, now: float) -> None:
         self.now = now
@@ -16,11 +16,11 @@
         self._queue: list[tuple[float, int, Callable[[], object]]] = []
 
     def schedule(self, delay_ms: float, callback: Callable[[], object]) -> None:
-        """Call back after a delay; callbacks due at the same time run in the order of scheduling."""
+        """Schedule a callback; callbacks that are due at the same time run in the order of scheduling."""
         heapq.heappush(self._queue, (self.now + delay_ms, next(self._sequence_numbers), callback))
 
     def advance(self, milliseconds: float) -> None:
-        """Let time pass, and run what falls due, in the order of due times."""
+        """Advance the clock, and run the callbacks that fall due, in the order of their times."""
         end = self.now + milliseconds
         while self._queue and self._queue[0][0] <= end:
             due_at, _, callback = heapq.heappop(self._queue)
@@ -29,5 +29,5 @@
         self.now = end
 
     def stall(self, milliseconds: float) -> None:
-        """Move the clock on while the process is stalled: what falls due meanwhile runs late."""
+        """Advance the clock as if the process were stalled: callbacks due in that time run late."""
         self.now += milliseconds
--- a/tests/support/virtual_time.py
+++ b/tests/support/virtual_time.py
@@ -8,11 +8,11 @@
 from typing import Any
 
 SOCKET_SETTLE_S = 0.002
-"""Real time in which sockets of this machine become readable after a write to their other end."""
+"""Real time, in seconds, within which a local socket becomes readable after a write to its other end."""
 
 
 class VirtualTimeSelector(selectors.DefaultSelector):
-    """Polls real sockets; a wait in which none becomes ready advances the virtual clock instead."""
+    """Polls real sockets; if none becomes ready, advances the virtual clock instead of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -38,6 +38,6 @@
 
 
 def run_in_virtual_time(scenario: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    """Run a scenario to its end in a loop of its own."""
+    """Run a scenario to its end in an event loop of its own, in virtual time."""
     with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
         runner.run(scenario())
--- a/tests/support/watch_harness.py
+++ b/tests/support/watch_harness.py
@@ -1,4 +1,4 @@
-"""An endpoint watcher that runs against a fake discovery, and the updates that it delivers."""
+"""Runs an endpoint watcher against a fake discovery, and records the updates that it delivers."""
 
 from __future__ import annotations
 
@@ -18,28 +18,28 @@
 from tests.support.fake_services import FakeDiscovery
 
 LIST_TARGET = "/catalog/members"
-"""Request target of a snapshot."""
+"""Request target of a call for a snapshot."""
 
 
 def watch_target(version: int) -> str:
-    """Return the request target of a watch from a version on."""
+    """Return the request target of a watch that starts at a version of the endpoint list."""
     return f"{LIST_TARGET}?stream=1&index={version}"
 
 
 class RecordedUpdate(NamedTuple):
-    """A part of an update as it was delivered: its kind, and the states of its backends in order."""
+    """One delivered part of an update: its kind, and the ids and states of its backends in order."""
 
     kind: UpdateKind
     states: list[tuple[int, EndpointState]]
 
 
 def delta(**states: EndpointState) -> RecordedUpdate:
-    """Return the record of a delta, given the states of its hosts by name."""
+    """Return the record of a delta, given the states of its hosts by host name."""
     return _record(UpdateKind.DELTA, states)
 
 
 def snapshot(**states: EndpointState) -> RecordedUpdate:
-    """Return the record of a snapshot, given the states of its hosts by name."""
+    """Return the record of a snapshot, given the states of its hosts by host name."""
     return _record(UpdateKind.SNAPSHOT, states)
 
 
@@ -48,7 +48,7 @@
 
 
 class WatchHarness:
-    """An endpoint watcher that runs against a fake discovery; `updates` are the parts that it delivered."""
+    """Runs an endpoint watcher against a fake discovery; `updates` records the parts that it delivers."""
 
     def __init__(
         self,
@@ -70,7 +70,7 @@
     def record(
         self, kind: UpdateKind, endpoints: tuple[ListedEndpoint, ...], _is_first: bool, _is_last: bool
     ) -> None:
-        """Record one part of an update; the listener unless a test sets another one."""
+        """Record one part of an update; this is the listener unless a test sets another one."""
         states = [(listed.endpoint.backend_id, listed.endpoint.state) for listed in endpoints]
         self.updates.append(RecordedUpdate(kind, states))
 
@@ -93,17 +93,17 @@
         await self.discovery.stop()
 
     async def wait_for_watches(self, count: int) -> None:
-        """Wait until discovery has accepted at least `count` watches in all."""
+        """Wait until discovery has accepted at least `count` watches since its start."""
         await wait_until(lambda: len(self.discovery.watches) >= count)
 
     async def wait_for_updates(self, count: int) -> None:
-        """Wait until at least `count` parts of updates have been delivered in all."""
+        """Wait until the watcher has delivered at least `count` parts of updates since its start."""
         await wait_until(lambda: len(self.updates) >= count)
 
 
 @asynccontextmanager
 async def open_watch(**settings: Any) -> AsyncIterator[WatchHarness]:
-    """A `WatchHarness` with these arguments, once its first watch is open."""
+    """Run a `WatchHarness` with these arguments; wait until its first watch is open."""
     async with WatchHarness(**settings) as watch:
         await watch.wait_for_watches(1)
         yield watch
