--- a/tests/network/clients/test_client_connection.py
+++ b/tests/network/clients/test_client_connection.py
@@ -116,7 +116,7 @@
 
         peer.close()
 
-        await wait_until(lambda: backend.ended)
+        await wait_until(lambda: backend.closed_by_gateway_count)
         # The id can be used again, because the request is no longer open.
         backend.script = backend.serve
         assert await harness.request(await harness.client()) == b"value"
--- a/tests/network/process/test_descriptor_budget.py
+++ b/tests/network/process/test_descriptor_budget.py
@@ -16,7 +16,12 @@
 from tests.support.event_loop import run_in_loop, wait_until
 from tests.support.fake_services import FakeBackend, FakeDiscovery, ScriptedReply, endpoint_entry
 from tests.support.gateway_harness import SETTINGS, GatewayHarness
-from tests.support.gateway_process import connect, launched, port_of, reserve_port
+from tests.support.gateway_process import (
+    connect_when_listening,
+    port_of,
+    reserve_port,
+    running_gateway_process,
+)
 from tests.support.request_commands import request_command
 from tests.support.resp_peer import LOCAL, RespPeer
 
@@ -115,20 +120,20 @@
     """Run a gateway process, with `limit` as its configured and its soft descriptor limit; yield its port."""
     command = ("/bin/sh", "-c", f'ulimit -n {limit} && exec "{sys.executable}" -m gateway')
     with (folder / "log").open("wb") as log:
-        async with launched(harness, folder, command=command, stderr=log) as gateway:
+        async with running_gateway_process(harness, folder, command=command, stderr=log) as gateway:
             yield gateway.port
 
 
 async def request_until_served(port: int, *commands: tuple[bytes, ...]) -> None:
     """Send each request until it is served, and reconnect whenever the connection closes without a reply."""
-    peer = await connect(port)
+    peer = await connect_when_listening(port)
     for command in commands:
         while True:
             peer.send(*command)
             if (reply := await peer.receive()) is not None:
                 break
             peer.close()
-            peer = await connect(port)
+            peer = await connect_when_listening(port)
         assert reply == b"value"
     peer.close()
 
@@ -172,9 +177,9 @@
         discovery = harness.discovery = UnavailableDiscovery(accepts_connections=accepts_connections)
         harness.hosts = lambda: [endpoint_entry("h0", old_backend.port)]  # type: ignore[method-assign]
         async with launched_with_descriptor_limit(harness, tmp_path, limit) as port:
-            hung_peers = [await connect(port) for _ in range(budget.backend_connections - 1)]
+            hung_peers = [await connect_when_listening(port) for _ in range(budget.backend_connections - 1)]
             await open_hanging_requests(hung_peers, old_backend)
-            counter_connections = harness.counter.accepted
+            counter_connections = harness.counter.accepted_count
             async with idle_clients(port, 2 * budget.client_connections) as clients:
                 # More connections were closed than there are clients, so the clients' share is exhausted.
                 await wait_until(lambda: clients.closed_connections > 2 * budget.client_connections)
@@ -192,7 +197,7 @@
                 await wait_until(
                     lambda: len({command[1] for command in harness.counter.received}) >= customers_counted
                 )
-                assert harness.counter.accepted > counter_connections
+                assert harness.counter.accepted_count > counter_connections
                 assert "Too many open files" not in (tmp_path / "log").read_text()
             for peer in hung_peers:
                 peer.close()
--- a/tests/support/invalid_configurations.py
+++ b/tests/support/invalid_configurations.py
@@ -1,17 +1,17 @@
-"""Texts of configuration files that a gateway must not accept."""
+"""Configuration files that a gateway must reject."""
 
-_ADDRESSES = '{"listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", '
+_ADDRESS_FIELDS = '{"listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", '
 
 INVALID_CONFIGURATIONS = {
     "empty": "",
     "a list": "[]",
     "no keys": "{}",
     "addresses without ports": '{"listen": "here", "discovery": "there", "settings": {}}',
-    "a gateway count beyond all numbers": _ADDRESSES + '"settings": {"groupSize": 1e999}}',
-    "infinitely many descriptors": _ADDRESSES + '"limits": {"sockets": Infinity}, "settings": {}}',
-    "an unknown effect": _ADDRESSES
+    "an infinite gateway count": _ADDRESS_FIELDS + '"settings": {"groupSize": 1e999}}',
+    "an infinite descriptor limit": _ADDRESS_FIELDS + '"limits": {"sockets": Infinity}, "settings": {}}',
+    "an unknown effect": _ADDRESS_FIELDS
     + '"settings": {"classes": [{"name": "c", "deadline": 1, "effect": "odd"}]}}',
     "nested too deeply": "[" * 100_000,
     "not UTF-8": "\udcff",
 }
-"""By what is wrong with them; to be written with `errors="surrogateescape"`."""
+"""Contents of the files by the fault in them; write them with `errors="surrogateescape"`."""
--- a/tests/support/manual_server.py
+++ b/tests/support/manual_server.py
@@ -1,4 +1,4 @@
-"""Servers whose every step a test makes itself."""
+"""Servers whose connections a test accepts and handles itself."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 
 class ManualServer:
-    """Stands in for a backend or the counter; a test accepts its connections and writes to them itself."""
+    """Replaces a backend or the counter; a test accepts its connections and writes to them itself."""
 
     def __init__(self) -> None:
         self.listener = socket.create_server((LOCAL, 0))
         self.listener.setblocking(False)
         self.address = Address(*self.listener.getsockname())
 
-    async def accept_after(self, command_count: int) -> socket.socket:
-        """Accept a connection, and return it once so many commands have been received in full."""
+    async def accept_and_receive(self, command_count: int) -> socket.socket:
+        """Accept a connection; return it once `command_count` complete commands have been received."""
         connection = await self.accept()
         peer = RespPeer(*await asyncio.open_connection(sock=connection.dup()))
         for _ in range(command_count):
@@ -47,19 +47,19 @@
 
 
 class FullAcceptQueue(NamedTuple):
-    """A listening socket on which connections are established late, and the clients that fill its queue."""
+    """A listening socket that establishes connections late, and the clients that fill its accept queue."""
 
     listener: socket.socket
-    fillers: list[socket.socket]
+    queued_clients: list[socket.socket]
 
 
 @contextlib.contextmanager
 def full_accept_queue() -> Iterator[FullAcceptQueue]:
-    """A listening socket whose accept queue is full until its fillers are closed and accepted."""
+    """Open a listening socket whose accept queue is full until the queued clients are closed and accepted."""
     with contextlib.ExitStack() as stack:
         listener = stack.enter_context(socket.create_server((LOCAL, 0), backlog=0))
-        fillers = [stack.enter_context(socket.socket()) for _ in range(3)]
-        for filler in fillers:
-            filler.setblocking(False)
-            filler.connect_ex(listener.getsockname())
-        yield FullAcceptQueue(listener, fillers)
+        queued_clients = [stack.enter_context(socket.socket()) for _ in range(3)]
+        for client in queued_clients:
+            client.setblocking(False)
+            client.connect_ex(listener.getsockname())
+        yield FullAcceptQueue(listener, queued_clients)
--- a/tests/support/policy_settings.py
+++ b/tests/support/policy_settings.py
@@ -24,14 +24,14 @@
 )
 
 BASIC = Plan("basic", rate=2, burst=8, over_quota_cost=1)
-FIRM = Plan(
+HARD_LIMITED = Plan(
     "firm", rate=10, burst=20, concurrency_limit=8, over_quota_cost=1, hard_limit_rate=20, hard_limit_burst=40
 )
 """A plan with a hard limit and a concurrency limit."""
-BONUS = Plan("bonus", rate=1, burst=2, over_quota_revenue=0.2)
-"""A plan whose requests earn something beyond the quota and cost nothing."""
+WITH_OVER_QUOTA_REVENUE = Plan("bonus", rate=1, burst=2, over_quota_revenue=0.2)
+"""A plan whose requests beyond the quota earn revenue and have no cost."""
 UNLIMITED = Plan("basic")
-"""A plan without a quota, under the name that requests have unless a test says otherwise."""
+"""A plan without a quota; it has the name of `BASIC`, the plan that requests name by default."""
 
 SAFETY_RULES = SafetyRules(
     drain_grace_ms=1000, initial_capacity=0.2, slow_start_ms=10_000, overload_multiple=2
@@ -42,7 +42,7 @@
     gateway_count=2,
     zone="a",
     request_classes=(IDEMPOTENT, WITH_KEY, UNSAFE),
-    plans=(BASIC, FIRM, BONUS),
+    plans=(BASIC, HARD_LIMITED, WITH_OVER_QUOTA_REVENUE),
     safety_rules=SAFETY_RULES,
     max_attempts=3,
     cancellation_supported=True,
@@ -53,5 +53,5 @@
 
 
 def settings(**changes: Any) -> Settings:
-    """The default settings with some of their fields changed."""
+    """Return the default settings with some of their fields changed."""
     return replace(DEFAULT_SETTINGS, **changes)
--- a/tests/support/reference_subset.py
+++ b/tests/support/reference_subset.py
@@ -1,4 +1,4 @@
-"""A plain reference implementation of deterministic subsetting, to compare the policy's subset with."""
+"""A simple reference implementation of deterministic subsetting, to compare the policy's subset with."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from gateway.policy.subsetting import MIN_GATEWAYS_PER_BACKEND, MIN_SUBSET_SIZE
 from tests.support.endpoints import READY, REMOVED
 
-FLEET_SIZE = 3_700
-"""Gateways of the fleet that the long lists are for."""
+FLEET_GATEWAY_COUNT = 3_700
+"""Number of gateways of the fleet in tests with long endpoint lists."""
 
 
 class ReferenceSubset:
-    """One gateway's subset of the endpoint list; sorts and hashes the complete list whenever it is read."""
+    """One gateway's subset of the endpoint list; sorts and hashes all ready backends at every read."""
 
     def __init__(self, gateway_index: int, gateway_count: int) -> None:
         self.gateway_index = gateway_index
@@ -23,12 +23,14 @@
         self.listed: dict[int, Endpoint] = {}
 
     def apply(self, kind: UpdateKind, endpoints: Iterable[Endpoint]) -> None:
-        """Apply a complete update: anything but a delta drops the backends that it omits."""
+        """Apply a complete update; an update that is no delta drops the backends that it omits."""
         endpoints = list(endpoints)
         if kind is not UpdateKind.DELTA:
-            named = {endpoint.backend_id for endpoint in endpoints}
+            listed_ids = {endpoint.backend_id for endpoint in endpoints}
             self.listed = {
-                backend_id: endpoint for backend_id, endpoint in self.listed.items() if backend_id in named
+                backend_id: endpoint
+                for backend_id, endpoint in self.listed.items()
+                if backend_id in listed_ids
             }
         for endpoint in endpoints:
             if endpoint.state is REMOVED:
@@ -37,19 +39,21 @@
                 self.listed[endpoint.backend_id] = endpoint
 
     def ready_ids(self) -> list[int]:
-        """The ready backends, in the order of the list."""
+        """Return the ids of the ready backends, in the order of the list."""
         return [endpoint.backend_id for endpoint in self.listed.values() if endpoint.state is READY]
 
     def backend_ids(self) -> list[int]:
-        """The backends of this gateway's window, in the order of its round."""
+        """Return the ids of the backends in this gateway's window, in the order of its round."""
         ready_ids = self.ready_ids()
-        count = len(ready_ids)
-        size = max(MIN_SUBSET_SIZE, MIN_GATEWAYS_PER_BACKEND * count / max(1, self.gateway_count))
-        window_count = 2 ** max(0, math.floor(math.log2(max(1.0, count / size))))
-        round_number, window = divmod(self.gateway_index, window_count)
+        ready_count = len(ready_ids)
+        min_size = max(MIN_SUBSET_SIZE, MIN_GATEWAYS_PER_BACKEND * ready_count / max(1, self.gateway_count))
+        window_count = 2 ** max(0, math.floor(math.log2(max(1.0, ready_count / min_size))))
+        round_number, window_index = divmod(self.gateway_index, window_count)
         if window_count > 1:
             ready_ids.sort(key=lambda backend_id: self._sort_key(round_number, backend_id))
-        return ready_ids[count * window // window_count : count * (window + 1) // window_count]
+        return ready_ids[
+            ready_count * window_index // window_count : ready_count * (window_index + 1) // window_count
+        ]
 
     @staticmethod
     def _sort_key(round_number: int, backend_id: int) -> bytes:
