--- a/gateway/policy/admission.py
+++ b/gateway/policy/admission.py
@@ -129,10 +129,10 @@
         priority_gap = 0.0
         if self.max_priority_weight:
             priority_gap = 1 - request.request_class.priority_weight / self.max_priority_weight
-        max_delay = SHED_DELAY_FRACTION * (1 - LOW_PRIORITY_DELAY_REDUCTION * priority_gap)
+        max_relative_delay = SHED_DELAY_FRACTION * (1 - LOW_PRIORITY_DELAY_REDUCTION * priority_gap)
         ramp = (
             SHED_RAMP_FRACTION * self.rng.random()
             if self.allowed_in_flight < MIN_IN_FLIGHT_FOR_ESTIMATE
             else 0.0
         )
-        return relative_delay > max_delay + ramp
+        return relative_delay > max_relative_delay + ramp
--- a/gateway/policy/leases.py
+++ b/gateway/policy/leases.py
@@ -25,7 +25,7 @@
 """If the fair share of the burst is less than this many requests of the largest cost, the customer's gateways
 share one bucket."""
 
-DEMAND_TIME_CONSTANT_MS = 3_000.0
+DEMAND_DECAY_MS = 3_000.0
 """Time constant of the exponential decay of the demand at this gateway and at all gateways."""
 
 TOTAL_TOLERANCE = 0.01
@@ -147,7 +147,7 @@
         """
         previous_total = self.last_total
         is_same_period = period == self.last_period
-        decay = math.exp((self.demand_updated_at - now) / DEMAND_TIME_CONSTANT_MS)
+        decay = math.exp((self.demand_updated_at - now) / DEMAND_DECAY_MS)
         self.demand_updated_at = now
         self._record_total(now, period, total)
         if is_same_period and total < previous_total - TOTAL_TOLERANCE:
@@ -158,7 +158,7 @@
         rate = self.plan.rate
         accrued = max(0.0, rate * (now - period * self.period_ms) / 1000)  # rounding could make it negative
         remaining = accrued - (total - self.plan.burst)
-        utilization = min(1.0, self.total_demand * 1000 / DEMAND_TIME_CONSTANT_MS / rate)
+        utilization = min(1.0, self.total_demand * 1000 / DEMAND_DECAY_MS / rate)
         self.share = self.fair_share
         if self.total_demand:
             self.share = 1 - (1 - min(1.0, self.local_demand / self.total_demand)) * utilization
--- a/gateway/policy/load_balancing.py
+++ b/gateway/policy/load_balancing.py
@@ -77,8 +77,8 @@
         if backend.started_at <= 0:
             return 1.0
         rules = self.rules
-        age = (now - backend.started_at) / max(1.0, rules.slow_start_ms)
-        return min(1.0, rules.initial_capacity + (1 - rules.initial_capacity) * age)
+        elapsed_fraction = (now - backend.started_at) / max(1.0, rules.slow_start_ms)
+        return min(1.0, rules.initial_capacity + (1 - rules.initial_capacity) * elapsed_fraction)
 
     def cost(self, now: float, backend: Backend, request: PendingRequest) -> float:
         """Return the expected latency in milliseconds, raised by the backend's queue and its failure risk."""
--- a/gateway/policy/outlier_detection.py
+++ b/gateway/policy/outlier_detection.py
@@ -18,15 +18,15 @@
 FAILURE_WEIGHT = 0.3
 """Weight of one outcome in the moving averages of a backend's failures."""
 
-MIN_SCORE_MEMORY_MS = 4_000.0
+MIN_SCORE_DECAY_MS = 4_000.0
 """Minimum time constant of the decay of scores."""
 
-SCORE_MEMORY_GAPS = 5.0
+SCORE_DECAY_IN_GAPS = 5.0
 """Time constant of the decay of scores, as a multiple of the mean time between two requests to a backend, so
 that the scores of a backend that is seldom used last from one request to the next. It is bounded by
-`MIN_SCORE_MEMORY_MS` and `MAX_SCORE_MEMORY_MS`."""
+`MIN_SCORE_DECAY_MS` and `MAX_SCORE_DECAY_MS`."""
 
-MAX_SCORE_MEMORY_MS = 15_000.0
+MAX_SCORE_DECAY_MS = 15_000.0
 """Maximum time constant of the decay of scores."""
 
 NEGLIGIBLE_FAILURE_SCORE = 0.01
@@ -112,5 +112,5 @@
     def _decayed(self, now: float, score: Score) -> float:
         """Return the level of a score now; scores decay more slowly where backends are seldom used."""
         gap_ms = len(self.endpoint_subset.backends) * 1000 / max(self.stats.response_rate, 0.1)
-        memory_ms = max(MIN_SCORE_MEMORY_MS, min(MAX_SCORE_MEMORY_MS, SCORE_MEMORY_GAPS * gap_ms))
-        return score.level * math.exp((score.updated_at - now) / memory_ms)
+        decay_ms = max(MIN_SCORE_DECAY_MS, min(MAX_SCORE_DECAY_MS, SCORE_DECAY_IN_GAPS * gap_ms))
+        return score.level * math.exp((score.updated_at - now) / decay_ms)
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -264,7 +264,7 @@
 
 
 @pytest.mark.parametrize("request_count", [1, 2])
-def test_idle_time_beyond_a_full_bucket_is_taken_off_the_total_once(request_count: int) -> None:
+def test_the_total_of_a_full_bucket_is_corrected_once_after_idle_time(request_count: int) -> None:
     """If two gateways both corrected the total, a customer within its quota would be left in debt."""
     customer = Customer("calm", LARGE, 0.2, list(range(30)))
     fleet = Fleet(GATEWAY_COUNT, [customer], Conditions(seed=3), max_retry_after_ms=1000.0)
