--- a/gateway/policy/actions.py
+++ b/gateway/policy/actions.py
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Send the final response of a request, which promises that it is safe to send the request again."""
+    """Send a request's final response, which tells the client that sending the request again is safe."""
 
     request_id: str
     retry_after_ms: float = 0.0
@@ -63,7 +63,10 @@
 
 @dataclass(slots=True)
 class IncrementCounter:
-    """Add to a named total of the counter service; 0 reads the total. The response carries the new total."""
+    """Add an amount to a named total of the counter service; the response carries the new total.
+
+    An amount of 0 only reads the total.
+    """
 
     name: str
     amount: float
--- a/gateway/policy/admission.py
+++ b/gateway/policy/admission.py
@@ -12,21 +12,22 @@
 
 SHED_RAMP_FRACTION = 0.5
 """Width of the range of queueing delays, as a fraction of the latency objective, in which the shed
-probability rises from 0 to 1 at a gateway with few allowed attempts in flight; other gateways shed all
-requests above the start of the range."""
+probability rises from 0 to 1 at a gateway with fewer than `MIN_IN_FLIGHT_FOR_ESTIMATE` allowed attempts in
+flight; other gateways shed all requests above the start of the range."""
 
 LOW_PRIORITY_DELAY_REDUCTION = 0.25
-"""Fraction by which the delay above which requests are shed is reduced for a request class whose priority
-weight is 0; for other classes the reduction is proportional to how far their weight is below the largest."""
+"""Fraction by which `SHED_DELAY_FRACTION` is reduced for a request class whose priority weight is 0; for
+other classes the reduction is proportional to how far their weight is below the largest."""
 
 SPARE_DELAY_FRACTION = 0.1
 """Estimated queueing delay, as a fraction of the latency objective, below which there is spare capacity."""
 
 IN_FLIGHT_PER_BACKEND = 3.0
-"""Attempts, over all gateways, that each backend may always have in flight."""
+"""Number of attempts that each backend may always have in flight, from all gateways together."""
 
 MIN_IN_FLIGHT_FOR_ESTIMATE = 2.0
-"""Allowed attempts in flight at this gateway below which their number does not show a queue."""
+"""Minimum of `AdmissionController.allowed_in_flight` with which the number of attempts in flight at this
+gateway shows a queue."""
 
 RELIABLE_IN_FLIGHT = 9.0
 """Attempts in flight above which their number alone shows a queue: the response rate is then known to within
@@ -55,9 +56,9 @@
         """Estimate how many milliseconds one more request would take.
 
         The estimate is the number of attempts in flight divided by the response rate (Little's law), and 0
-        while that number is within this gateway's share of the attempts that are always allowed. The
-        latency of responses shows an overload, and its end, only after a whole queue has been processed,
-        while the number of attempts in flight is known at once. It rises with floods of requests, slow
+        while that number is within this gateway's share of the attempts that are always allowed. The latency
+        of responses shows an overload, and its end, only after a whole queue has been processed, while the
+        number of attempts in flight is known at once. This number rises with floods of requests, slow
         backends and lost capacity alike. Where this gateway's share of the attempts is too small to show a
         queue, the estimate is based on the recent latency instead.
 
@@ -115,8 +116,8 @@
     def retry_after(self, request: PendingRequest, quota_wait_ms: float) -> float:
         """Return the milliseconds after which a client should retry a request.
 
-        It is the wait for the quota; if the quota is not the reason for the rejection, it is a fraction of
-        the latency objective, so that the fault may be over by then.
+        This is the time until the quota has enough tokens. If the quota is not the reason for the rejection,
+        it is a fraction of the latency objective, so that the fault may be over by then.
         """
         wait_ms = quota_wait_ms or request.request_class.latency_objective_ms * RETRY_AFTER_FRACTION
         return min(wait_ms, self.settings.max_retry_after_ms)
--- a/gateway/policy/backends.py
+++ b/gateway/policy/backends.py
@@ -30,20 +30,20 @@
     failures: Score = field(default_factory=Score)
     """Fraction of all requests that fail, from 0 to 1."""
     by_class: defaultdict[str, Score] = field(default_factory=lambda: defaultdict(Score))
-    """By name of a request class: the fraction of its requests that fail."""
+    """Fraction of requests that fail, by name of their request class."""
     by_plan: defaultdict[str, Score] = field(default_factory=lambda: defaultdict(Score))
-    """By name of a plan: the fraction of its customers' requests that fail."""
+    """Fraction of requests that fail, by name of their customer's plan."""
 
 
 class Backend:
-    """A backend, with this gateway's attempts in flight there and the scores of the backend."""
+    """A backend, its scores, and the number of this gateway's attempts in flight there."""
 
     __slots__ = ("cell", "id", "in_flight", "scores", "started_at", "zone")
 
     def __init__(self, endpoint: Endpoint) -> None:
         self.id = endpoint.backend_id
         self.in_flight = 0
-        self.started_at = -1.0  # start time of its process; `update` sets it
+        self.started_at = -1.0  # no process starts then, so `update` creates the scores
         self.update(endpoint)
 
     def begin_attempt(self) -> None:
--- a/gateway/policy/counter_calls.py
+++ b/gateway/policy/counter_calls.py
@@ -1,6 +1,6 @@
 """The kinds of calls to the counter service, and the calls that await a response.
 
-The counter service adds numbers up under names. Each customer has one such total for each period of time. A
+The counter service adds numbers up under names. It keeps one total for each customer and period of time. A
 call adds units to the total of a period, and its response holds the new total; a call that adds 0 only reads.
 Each kind of call has a class, whose fields are what the handler of the response needs.
 """
@@ -105,7 +105,7 @@
 
 
 class PendingCounterCalls:
-    """The calls that await a response; the counter responds to those of one name in the order of sending."""
+    """The calls that await a response; the counter responds to calls of the same name in their order."""
 
     def __init__(self) -> None:
         self.by_name: dict[str, deque[CounterCall]] = {}
--- a/gateway/policy/counter_throttle.py
+++ b/gateway/policy/counter_throttle.py
@@ -1,8 +1,8 @@
 """Client-side throttling of the calls to the counter service.
 
-Each gateway estimates the fraction of its calls that the counter can handle, from the outcomes of its own
-calls (adaptive throttling, after "Handling Overload" in Site Reliability Engineering), and leaves out the
-calls with the least benefit. Retrying against an overloaded counter would prolong the overload.
+Each gateway estimates the fraction of its calls that the counter can handle, from the outcomes of these
+calls (adaptive throttling, after "Handling Overload" in Site Reliability Engineering), and skips the calls
+with the least benefit. Retrying against an overloaded counter would prolong the overload.
 """
 
 import math
@@ -22,14 +22,14 @@
 
 
 class ThrottleExponent(float, Enum):
-    """Exponent applied to the estimated capacity; the larger it is, the sooner a call is left out."""
+    """Exponent applied to the estimated capacity; the larger it is, the more likely a call is skipped."""
 
     LIKELY_WITHIN_QUOTA = 0.2
     """The request is likely to be admitted, and its tokens must be reserved."""
     LIKELY_OVER_QUOTA = 4.0
     """The request is likely to be rejected, whatever the counter responds."""
     OVER_QUOTA_IS_FREE = 6.0
-    """Serving the customer beyond the quota costs no more than it brings."""
+    """Forwarding a request beyond the quota costs no more than its revenue."""
 
 
 class CounterThrottle:
@@ -40,7 +40,7 @@
         self.capacity = 1.0
         """Estimated fraction of calls that succeed, from 0 to 1."""
         self.timely_capacity = 1.0
-        """Estimated fraction of calls that do not time out, from 0 to 1; time-outs lower both estimates."""
+        """Estimated fraction of calls that do not time out, from 0 to 1; timeouts lower both estimates."""
 
     def record(self, outcome: Outcome) -> None:
         """Update the estimates by a call's outcome: additive increase, multiplicative decrease."""
--- a/gateway/policy/endpoint_records.py
+++ b/gateway/policy/endpoint_records.py
@@ -1,7 +1,7 @@
 """Packed records of the listed backends.
 
-A record is a bytes object, because the garbage collector does not visit those. A collection that visits one
-object for each of 39,000 backends takes milliseconds, during which no request is served.
+A record is a bytes object, which the garbage collector does not visit. A collection that visits one object
+for each of 39,000 backends takes milliseconds, during which no request is served.
 """
 
 from __future__ import annotations
@@ -32,11 +32,11 @@
 
 @dataclass(slots=True)
 class PendingSnapshot:
-    """The parts of a snapshot that have arrived; the snapshot replaces the list with its last part."""
+    """The parts of a snapshot that have arrived; with the last one, the snapshot replaces the list."""
 
     records: dict[int, Record] = field(default_factory=dict)
     new_backend_ids: list[int] = field(default_factory=list)
-    """The ids in the snapshot that were not listed before it."""
+    """The ids of backends that were not listed before the snapshot."""
 
 
 class RecordCodec:
--- a/gateway/policy/endpoint_updates.py
+++ b/gateway/policy/endpoint_updates.py
@@ -1,7 +1,7 @@
 """Applies updates of the endpoint list.
 
-The ring of a long list is rebuilt in steps, each on a timer without delay, so that other events are handled
-between them.
+The ring of a long list is rebuilt in steps. Each step has a timer without delay, so that other events are
+handled between the steps.
 """
 
 from .actions import Actions, SetTimer, WatchEndpoints
--- a/gateway/policy/events.py
+++ b/gateway/policy/events.py
@@ -70,7 +70,7 @@
 
 @dataclass(slots=True)
 class EndpointUpdate:
-    """Entries of the endpoint list; a snapshot may come in parts and replaces the list with the last one."""
+    """Entries of the endpoint list; a snapshot may arrive in parts and, with the last, replaces the list."""
 
     kind: UpdateKind
     endpoints: tuple[Endpoint, ...]
@@ -125,7 +125,7 @@
 
 @dataclass(slots=True)
 class CounterResponse:
-    """The counter's response to the oldest open call for the total `name`, or the failure of that call."""
+    """The counter's response to the oldest pending call for the total `name`, or the failure of that call."""
 
     name: str
     outcome: Outcome
--- a/gateway/policy/lease_refresh.py
+++ b/gateway/policy/lease_refresh.py
@@ -54,7 +54,7 @@
     ) -> None:
         """Resize a lease by the total of its period.
 
-        After the first call of a period, the debt of the previous period is read first.
+        If the call was the first of its period, the debt of the previous period is read first.
         """
         if total <= call.units + TOTAL_TOLERANCE and self.throttle.permits_maintenance():
             self.calls.send(lease, ReadLeaseDebt(lease.customer, call.period - 1), actions)
@@ -73,5 +73,5 @@
         lease.resize(now, period, 0.0, 0.0)
 
     def _send(self, lease: Lease, call: RefreshLease | CarryOverLeaseDebt, actions: Actions) -> None:
-        """Send a call; one that adds nothing becomes a read, and its response is handled as a read's."""
+        """Send a call; a call without units is replaced by `ReadLeaseDebt` for the same period."""
         self.calls.send(lease, call if call.units else ReadLeaseDebt(lease.customer, call.period), actions)
--- a/gateway/policy/leases.py
+++ b/gateway/policy/leases.py
@@ -35,8 +35,8 @@
 """Minimum unreported usage, in units, for which a call is made; less than that is rounding error."""
 
 LIKELY_EMPTY_FILL_TIMES = 2.0
-"""How long requests are assumed to be over quota after a shared bucket was read as empty, in multiples of the
-time in which the bucket fills."""
+"""How long requests are assumed to be over quota after a shared bucket that was read as empty could admit
+one, in multiples of the time in which the bucket fills."""
 
 MAX_SPEND_RATE_MULTIPLE = 5.0
 """Expected upper limit of the rate at which all gateways together spend a quota, as a multiple of its rate. A
@@ -57,7 +57,7 @@
         self.share = self.fair_share  # fraction of the quota and of the burst
         self.tokens = max(largest_cost, plan.burst * self.fair_share)
         # A hard limit must hold across a restart, but this process does not know what the previous one
-        # forwarded. The share therefore counts as empty at the start, so that it cannot be spent twice.
+        # forwarded. The share is therefore empty when the process starts, so that it cannot be spent twice.
         self.hard_limit_tokens = uptime_ms / 1000 * plan.hard_limit_rate * self.fair_share
         self.refilled_at = now
         self.retention_ms = max(LEASE_MS, plan.hard_limit_burst / max(plan.hard_limit_rate, 1e-9) * 1000)
@@ -70,11 +70,11 @@
             else None
         )
         fill_ms = plan.burst / max(plan.rate, 1e-9) * 1000
-        # An empty bucket fills in one period, unless the limits of its length apply.
+        # A period is the time in which an empty bucket fills, within limits.
         self.period_ms = min(LEASE_MS, max(REFRESH_INTERVAL_MS, fill_ms))
         self.expires_at = now + LEASE_MS
-        self.fresh_until = now
-        self.empty_until = self.likely_empty_until = now  # from the last read of the shared bucket
+        self.fresh_until = now  # until then, the last total counts as recent
+        self.empty_until = self.likely_empty_until = now  # set by reads of the shared bucket
         self.local_demand = self.total_demand = 0.0  # recent units here and at all gateways; they decay
         self.demand_updated_at = now
         self.last_period, self.last_total = -1, 0.0  # as of the counter's last response
@@ -114,7 +114,7 @@
         self.in_flight -= 1
 
     def record_usage(self, units: float, already_reported: float = 0.0) -> None:
-        """Add units to the next report, less those that the counter already holds."""
+        """Add units to the next report, less those that the counter's total already includes."""
         self.unreported_usage = self.unreported_usage + units - already_reported
 
     def take_unreported_usage(self) -> float:
@@ -124,7 +124,7 @@
         return units
 
     def claim_report_timer(self) -> bool:
-        """Return whether a timer must be set for a report of shared usage; at most one is set at a time."""
+        """Return whether the caller must set a timer to report usage; at most one is set at a time."""
         has_usage = self.shared_bucket is not None and abs(self.unreported_usage) >= MIN_REPORT_UNITS
         if not has_usage or self.has_report_timer:
             return False
--- a/gateway/policy/load_balancing.py
+++ b/gateway/policy/load_balancing.py
@@ -44,8 +44,8 @@
         allowed = [b for b in candidates if may_run_on(now, request, b)]
         allowed = allowed or self.fallback_candidates(now, request)
         warm = [b for b in allowed if self.slow_start_fraction(now, b) >= 1]
-        # When many backends are slow, retries come from many gateways at once. So a request that may have run
-        # goes to a warm backend if there is one.
+        # When many backends are slow, many gateways retry at once. So a request that may have run goes to a
+        # warm backend if there is one.
         if len(warm) < len(allowed) and not (request.possibly_run_attempts and warm):
             backend = self._draw_warming(now, request, allowed)
             if backend is not None:
@@ -55,7 +55,7 @@
         return warm[costs.index(min(costs))] if warm else None
 
     def _draw_warming(self, now: float, request: PendingRequest, allowed: list[Backend]) -> Backend | None:
-        """Return a random backend if it is warming up and is drawn, or else None.
+        """Choose a backend at random; if it is warming up, return it with a limited probability, else None.
 
         Slow start must bound the load from the whole fleet: a warming backend fails above `overload_multiple`
         times its present capacity, whichever gateways send the load. So each gateway sends it an even share
--- a/gateway/policy/outlier_detection.py
+++ b/gateway/policy/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Outlier detection: a backend's failure probability and latency, and the time-outs of its attempts.
+"""Outlier detection: a backend's failure probability and latency, and the timeouts of its attempts.
 
 A backend whose requests fail, or take longer than those of others, is an outlier. It is not ejected. Its
 scores raise its cost, so that it is seldom chosen, and they decay, so that it is tried again.
@@ -37,10 +37,10 @@
 healthy one."""
 
 MIN_TIMEOUT_RATIO = 2.0
-"""Minimum time-out of an attempt, reached at a failing backend, as a multiple of the typical latency."""
+"""Minimum timeout of an attempt, reached at a failing backend, as a multiple of the typical latency."""
 
 INITIAL_TIMEOUT_FRACTION = 0.4
-"""Time-out of an attempt before the typical latency is known, as a fraction of the latency objective."""
+"""Timeout of an attempt before the typical latency is known, as a fraction of the latency objective."""
 
 
 class OutlierDetector:
@@ -57,8 +57,9 @@
         The two scores are combined as if they were independent, relative to the score over all requests.
         """
         scores = backend.scores
+        # A score only decays between updates, so a healthy backend needs no computation.
         if scores.failures.level < NEGLIGIBLE_FAILURE_SCORE:
-            return 0.0  # between updates a score only decays: healthy backends need no computation
+            return 0.0
         overall_level = self._decayed(now, scores.failures)
         if overall_level < NEGLIGIBLE_FAILURE_SCORE:
             return 0.0
@@ -69,11 +70,11 @@
         return min(1.0, self._decayed(now, class_score) * self._decayed(now, plan_score) / overall_level)
 
     def expected_latency(self, now: float, backend: Backend) -> float:
-        """Return the expected latency of a backend in milliseconds, without its queue and its failures."""
+        """Return the expected latency of a backend in milliseconds, regardless of queue and failures."""
         return max(1.0, self.stats.typical_latency_ms + self._decayed(now, backend.scores.excess_latency))
 
     def attempt_timeout(self, now: float, attempt: Attempt) -> float:
-        """Return the milliseconds that a response may take before the attempt counts as lost."""
+        """Return the milliseconds that a response may take before the attempt is overdue."""
         if not self.stats.typical_latency_ms:
             return INITIAL_TIMEOUT_FRACTION * attempt.request.request_class.latency_objective_ms
         failure_probability = self.failure_probability(now, attempt.backend, attempt.request)
--- a/gateway/policy/policy.py
+++ b/gateway/policy/policy.py
@@ -50,6 +50,7 @@
             retries=self.retries,
         )
         self.has_started = False
+        # Events of other types are ignored.
         self.handlers: dict[type, Callable[[float, Any, Actions], None]] = {
             events.RequestArrived: self.lifecycle.on_arrival,
             events.AttemptEnded: self.lifecycle.on_attempt_ended,
@@ -57,7 +58,7 @@
             events.CounterResponse: self.lifecycle.on_counter_response,
             events.EndpointUpdate: self.endpoint_updates.on_update,
             events.ClientDisconnected: self.lifecycle.on_client_disconnected,
-        }  # events of other types are ignored
+        }
 
     @property
     def subset(self) -> list[Backend]:
--- a/gateway/policy/quota_counter.py
+++ b/gateway/policy/quota_counter.py
@@ -1,4 +1,4 @@
-"""The gateway's client of the counter service: the components that call it, and the handling of responses."""
+"""The client of the counter service: creates the components that call it, and passes on its responses."""
 
 from .actions import Actions
 from .counter_calls import (
@@ -49,7 +49,7 @@
         if lease is None:
             return None
         request = self._waiting_request(call)
-        if response.outcome in NOT_PROCESSED:  # not a time-out, after which it may have been processed
+        if response.outcome in NOT_PROCESSED:  # a call that timed out may have been processed
             self.usage_reporter.restore(call, lease, request)
         if response.outcome is not Outcome.OK:
             return request
--- a/gateway/policy/request_lifecycle.py
+++ b/gateway/policy/request_lifecycle.py
@@ -87,7 +87,7 @@
             del self.requests[request.id]
             self.retries.cancel_attempts(request, actions)
         elif not request.attempts_in_flight:
-            # Attempts that were not processed cost the backends no work.
+            # An attempt that was not processed cost the backends no work, so its retry is free.
             budget_cost = 0.0 if event.outcome in events.NOT_PROCESSED else 1.0
             if not self.retries.retry(now, request, actions, budget_cost):
                 self._finish(request, actions)
@@ -98,7 +98,7 @@
         if request is None or now < request.check_at - TIMER_TOLERANCE_MS:
             return
         if now >= request.finish_by - TIMER_TOLERANCE_MS:
-            self._finish(request, actions)  # at the latest, every pending request is finished here
+            self._finish(request, actions)  # no request stays pending any longer
         elif not request.attempt_count:
             self._admit(now, request, actions)  # the counter has not responded in time
         else:
--- a/gateway/policy/requests.py
+++ b/gateway/policy/requests.py
@@ -36,6 +36,7 @@
     latency_objective_at: float
     """The time at which the request's latency objective, or its deadline if that is earlier, expires."""
     check_at: float = math.inf
+    """The time at which a timer next checks the request."""
     attempt_count: int = 0
     attempts_in_flight: set[int] = field(default_factory=set)
     """The numbers of the request's attempts that are in flight."""
@@ -43,10 +44,10 @@
     possibly_run_attempts: list[Attempt] = field(default_factory=list)
     """The attempts that ran, may have run or are in flight, the earliest first."""
     reported_cost: float = 0.0
-    """Units of the request's cost that the counter includes in its total."""
+    """Units of the request's cost that the counter's total includes."""
     assumed_shortfall: float | None = None
-    """Tokens that the request is assumed to lack where its shared bucket is not read; None if nothing is
-    assumed."""
+    """Tokens that the request is assumed to lack if its shared bucket is not read; None if the tokens of its
+    lease decide."""
 
     def begin_attempt(self, now: float, backend: Backend) -> Attempt:
         """Record an attempt that is being started; its number is the count of the attempts before it."""
@@ -75,7 +76,7 @@
         actions.append(SetTimer(max(0.0, self.check_at - now), TimerToken(TimerKind.REQUEST, self.id)))
 
     def replace_reported_cost(self, units: float) -> float:
-        """Record how many units of the request the counter includes, and return the previous number."""
+        """Record how many units of the request the counter's total includes; return the previous number."""
         previous = self.reported_cost
         self.reported_cost = units
         return previous
--- a/gateway/policy/response_stats.py
+++ b/gateway/policy/response_stats.py
@@ -9,8 +9,8 @@
 """Number of responses over which the typical latency is a moving mean."""
 
 MAX_LATENCY_RATIO = 9.0
-"""Latency, as a multiple of the typical latency, at which samples are capped; it is also the longest that a
-response of a healthy backend may take."""
+"""Latency, as a multiple of the typical latency, at which samples are capped; also the timeout of an attempt
+at a healthy backend."""
 
 MIN_RECENT_LATENCY_WEIGHT = 0.12
 """Minimum weight of one response in the recent latency."""
--- a/gateway/policy/retries.py
+++ b/gateway/policy/retries.py
@@ -41,7 +41,7 @@
         self.budget = min(MAX_RETRY_BUDGET, self.budget + earned)
 
     def start_attempt(self, now: float, request: PendingRequest, backend: Backend, actions: Actions) -> None:
-        """Start an attempt of a request at a backend, and schedule the check whether it is overdue."""
+        """Start an attempt of a request at a backend, and schedule a check for when it is overdue."""
         self.backends.remember(backend)
         backend.begin_attempt()
         request.lease.begin_attempt()
@@ -66,7 +66,7 @@
     def retry(self, now: float, request: PendingRequest, actions: Actions, budget_cost: float) -> bool:
         """Start another attempt if its response can be in time and the budget holds `budget_cost` retries.
 
-        Returns whether it has been started.
+        Return whether an attempt has been started.
         """
         backend = self._pick_for_retry(now, request, budget_cost)
         if backend is None:
--- a/gateway/policy/ring.py
+++ b/gateway/policy/ring.py
@@ -1,4 +1,4 @@
-"""The order in which the gateways of one round of deterministic subsetting divide the ready backends."""
+"""The ring: the ready backends in the order in which the gateways of one subsetting round divide them."""
 
 from __future__ import annotations
 
@@ -70,7 +70,7 @@
         return position
 
     def position(self, backend_id: int) -> int:
-        """Return the number of backends before this one. Raises KeyError if it is not in the ring."""
+        """Return the number of backends before this one; raise KeyError if it is not in the ring."""
         return self._sorted_keys.bisect_left(self.sort_keys[backend_id])
 
     def backend_ids_between(self, start: int, end: int) -> list[int]:
--- a/gateway/policy/shared_bucket.py
+++ b/gateway/policy/shared_bucket.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 PERIOD_MS = 15_000.0
-"""Length of a period. The counter keeps a total for a minute, and it is read in the next period, too."""
+"""Length of a period. The counter keeps a total for a minute; a total is also read in the next period."""
 
 RETAINED_PERIODS = 4
 """Number of periods for which the counter keeps a total."""
@@ -20,7 +20,7 @@
 
 
 def counter_key(customer: str) -> str:
-    """Return the hash that stands for a customer in the counter's names, the same at all gateways.
+    """Return the hash that stands for a customer in the names of totals, the same at all gateways.
 
     A hash is used because customers' own names may be long.
     """
@@ -29,11 +29,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SharedTokenBucket:
-    """The token bucket of one customer; `now` is the time of the policy's clock in milliseconds."""
+    """The token bucket of one customer; `now` is in milliseconds on the host's clock."""
 
     offset_ms: float
-    """Milliseconds by which the customer's periods begin early. If all customers' periods began at once, all
-    calls that carry debts over would be made at once, too."""
+    """Milliseconds by which the customer's periods begin early. If all customers' periods began at the same
+    time, all calls that carry debts over would be made at that time, too."""
     rate: float
     """Units gained per second."""
     burst: float
--- a/gateway/policy/shared_bucket_reads.py
+++ b/gateway/policy/shared_bucket_reads.py
@@ -24,7 +24,7 @@
 a correction by which the resulting total may overshoot the expected one before the correction is undone."""
 
 MAX_READ_WAIT_IN_TIMEOUTS = 2
-"""Longest wait of a request for its read, in time-outs of a counter call; a read may need a second call."""
+"""Longest wait of a request for its read, in timeouts of a counter call; a read may need a second call."""
 
 
 class SharedBucketReader:
@@ -71,7 +71,7 @@
     def on_total(
         self, now: float, request: PendingRequest, call: ReadSharedBucket, total: float, actions: Actions
     ) -> bool:
-        """Set the level of a bucket that was read; return False if the previous debt must be read first."""
+        """Set the level of a bucket that was read; return False if the last period's debt is read first."""
         if total <= call.units + TOTAL_TOLERANCE and self.throttle.permits_maintenance():
             lease = request.lease
             self.calls.send(lease, ReadBucketDebt(lease.customer, call.period - 1, request.id), actions)
--- a/gateway/policy/subsetting.py
+++ b/gateway/policy/subsetting.py
@@ -43,9 +43,9 @@
 
 
 def assign_window(gateway_index: int, gateway_count: int, ready_count: int) -> Window:
-    """Return a gateway's window while `ready_count` backends are ready; its round is None if it holds all."""
+    """Return a gateway's window while `ready_count` backends are ready; a window of all has no round."""
     min_size = max(MIN_SUBSET_SIZE, MIN_GATEWAYS_PER_BACKEND * ready_count / gateway_count)
-    # A power of two seldom changes, so the gateway's round and its permutation seldom change either.
+    # A power of two, which seldom changes, so that the gateway's round and permutation seldom change either.
     window_count: int = 2 ** max(0, math.floor(math.log2(max(1.0, ready_count / min_size))))
     round_number, window_index = divmod(gateway_index, window_count)
     start = ready_count * window_index // window_count
@@ -83,11 +83,11 @@
     def apply(self, update: EndpointUpdate) -> None:
         """Apply a delta, or one part of a snapshot.
 
-        Changes of listed backends apply at once. New backends are added, and backends that the snapshot omits
-        are removed, with its last part.
+        Changes of listed backends apply at once. Only the last part of a snapshot adds the new backends, and
+        removes those that the snapshot omits.
         """
         if update.kind is UpdateKind.DELTA:
-            self._pending_snapshot = None  # the missing parts of an incomplete snapshot will not come
+            self._pending_snapshot = None  # the missing parts of an incomplete snapshot will not arrive
             for endpoint in update.endpoints:
                 self._apply_change(endpoint)
             self._correct_window()
@@ -115,7 +115,7 @@
         self.ring = rebuild.ring
         self._rebuild = None
         window = assign_window(self._gateway_index, self._gateway_count, len(self.ring))
-        if window.round_number != self.ring.round_number:  # many backends came or went during the rebuild
+        if window.round_number != self.ring.round_number:  # many backends were added or removed meanwhile
             self._start_rebuild()
             return
         self._window_start = window.start
@@ -177,7 +177,7 @@
         self._add_if_ready(backend_id)
 
     def _replace_list(self, snapshot: PendingSnapshot) -> None:
-        """Replace the list by a snapshot; update the ring if few backends differ, else start a rebuild."""
+        """Replace the list with a snapshot; update the ring if few backends differ, else start a rebuild."""
         previous = self.records
         self.records = current = snapshot.records
         removed_count = len(previous) - (len(current) - len(snapshot.new_backend_ids))
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -28,7 +28,7 @@
 def test_overload_sheds_the_lower_priority_first_and_ends_with_the_load(
     unlimited_harness: PolicyHarness,
 ) -> None:
-    """If the latency alone decided, an overload and its end would be noticed one whole queue too late."""
+    """If the latency alone decided, an overload and its end would be noticed only a whole queue later."""
     harness = unlimited_harness
     serve_steadily(harness)
 
@@ -58,7 +58,7 @@
 
 
 def count_forwarded_one_at_a_time(harness: PolicyHarness, latency_ms: float) -> int:
-    """Send ninety requests, each after the end of the one before; return the attempts of the last sixty."""
+    """Send ninety requests, each after the end of the one before; return how many of the last sixty ran."""
     forwarded = 0
     for number in range(90):
         for attempt in attempts_in(harness.request()):
--- a/tests/policy/test_counter_throttle.py
+++ b/tests/policy/test_counter_throttle.py
@@ -7,7 +7,7 @@
 
 
 def count_counter_calls(harness: PolicyHarness, outcome: Outcome) -> int:
-    """Return the number of counter calls in a minute of steady requests; each call gets the outcome."""
+    """Return the number of counter calls in a minute of steady requests; each call ends with `outcome`."""
     call_count = 0
     for _ in range(1200):
         for call in counter_calls_in(harness.request()):
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -20,7 +20,7 @@
 
 
 class MeteredFleet(Fleet):
-    """A fleet that counts the units that one gateway for all customers would forward within their quotas."""
+    """A fleet that also counts the units that a single gateway would forward within all quotas."""
 
     def __init__(
         self,
@@ -130,7 +130,7 @@
 
 
 class DelayedReference:
-    """A reference policy that knows the true state of a customer's quota, but with a short delay."""
+    """A reference policy that knows the true state of a customer's quota, but `REFERENCE_DELAY_MS` late."""
 
     def __init__(self, plan: Plan, now: float) -> None:
         self._plan = plan
@@ -170,7 +170,7 @@
         super().send_new_request(customer)
 
     def reference_over_quota_cost(self) -> float:
-        """Return the cost that the delayed reference pays, in the unit of `over_quota_cost`."""
+        """Return the cost that the delayed reference pays, per unit that one gateway would forward."""
         return self._reference_cost / self.units_within_quota
 
     def timely_counter_responses(self) -> float:
@@ -225,7 +225,7 @@
 
 
 def test_a_fleet_of_full_size_does_not_prolong_the_overload_of_its_counter() -> None:
-    """Once calls queue for longer than the time-out, the counter handles calls that no gateway waits for."""
+    """Once calls queue for longer than the timeout, the counter handles calls that no gateway waits for."""
     fleet = simulate_full_size(counter_calls_per_s=500)  # less than one call for each request
 
     assert fleet.forwarded_within_quota() > 0.87
--- a/tests/policy/test_lease_refresh.py
+++ b/tests/policy/test_lease_refresh.py
@@ -20,7 +20,7 @@
 def refresh_for_five_seconds(harness: PolicyHarness) -> list[TimedAction]:
     """Send a hundred requests and answer their counter calls with totals far beyond the quota.
 
-    Returns the calls.
+    Return the calls.
     """
     calls = []
     for _ in range(100):
@@ -132,7 +132,7 @@
 @pytest.mark.parametrize(
     ("outcome", "next_amount"),
     [
-        pytest.param(Outcome.TIMED_OUT, 1.0, id="not after a time-out, which may have been counted"),
+        pytest.param(Outcome.TIMED_OUT, 1.0, id="not after a timeout, as the call may have been counted"),
         pytest.param(Outcome.QUEUE_FULL, 2.0, id="after a rejection"),
     ],
 )
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -67,7 +67,7 @@
 
 
 def test_a_backend_that_fails_one_class_is_avoided_for_that_class_alone() -> None:
-    """With one score for all classes, the backend would look half healthy and still get the failing class."""
+    """With one score for all classes, the backend would look half healthy and still get failing requests."""
     harness = PolicyHarness.without_quotas(max_attempts=1)
     attempts_at_faulty_backend = {IDEMPOTENT.name: 0, WITH_KEY.name: 0}
 
--- a/tests/policy/test_policy_files.py
+++ b/tests/policy/test_policy_files.py
@@ -1,4 +1,4 @@
-"""The policy's files: the operators' list names each of them; lines are at most 110 characters long."""
+"""The policy's files: `deploy/balancer.toml` lists each of them; lines are at most 110 characters long."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_shared_bucket_reads.py
+++ b/tests/policy/test_shared_bucket_reads.py
@@ -68,7 +68,7 @@
     calm_forwarded = 0
     flood_forwarded = 0
 
-    for step in range(600):  # a minute: 10 requests a second against a quota of 2, and 1 a second within it
+    for step in range(600):  # a minute: "flood" sends 10 requests a second, "calm" 1; the quota is 2
         harness = harnesses[step * 37 % 120]
         harness.pass_time(start + step * 100 - harness.now)
         flood_forwarded += serve_with_shared_counter(harness, "flood", totals)
@@ -100,20 +100,20 @@
 
 
 def test_an_emptied_bucket_is_read_again_once_it_can_be_full() -> None:
-    """After one burst, a customer must not be rejected unread for as long as the counter is overloaded."""
+    """After one burst, a customer must not be rejected without a read throughout the counter's overload."""
     assert count_reads_after_empty(idle_ms=12_000) >= 15
 
 
 def test_a_plan_that_loses_nothing_beyond_its_quota_is_served_without_a_counter_call(
     harness: PolicyHarness,
 ) -> None:
-    """Such a call would load the counter without a benefit.
+    """A call would load the counter without a benefit.
 
     Without a default for requests whose bucket is not read, the customer would be rejected.
     """
     call_count = 0
     forwarded = 0
-    for _ in range(20):  # in flight, so that capacity is neither spare nor scarce
+    for _ in range(20):  # they stay in flight, so that capacity is neither spare nor scarce
         harness.request(plan="none", customer="other")
     harness.set_response_rate(100.0)
 
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -64,7 +64,7 @@
 
 
 def observe_backend(scenario: Scenario, received: list[ReceivedAttempt], observation: Observation) -> None:
-    """Slide a time window over the attempts that a backend received; keep the worst in `observation`."""
+    """Slide a time window over the attempts that a backend received; keep the one with the highest use."""
     window: deque[ReceivedAttempt] = deque()
     work_in_window = 0.0
     for attempt in received:
@@ -75,7 +75,7 @@
         window_start = attempt.age_ms - scenario.window_ms
         while window[0].age_ms <= window_start:
             work_in_window -= window.popleft().work
-        # The budget grows from the start of the window to its end; the one at the start is stricter.
+        # The budget grows with the age of the backend; the one at the start of the window is the strictest.
         budget_use = work_in_window / scenario.budget(window_start)
         if budget_use > observation.budget_use:
             observation.budget_use = budget_use
--- a/tests/policy/test_subset_use.py
+++ b/tests/policy/test_subset_use.py
@@ -105,7 +105,7 @@
 
 @pytest.fixture
 def scored_backends(monkeypatch: pytest.MonkeyPatch) -> list[int]:
-    """The ids of the backends whose costs load balancers have computed, in order."""
+    """The ids of the backends whose costs have been computed, in order."""
     scored: list[int] = []
     compute_cost = LoadBalancer.cost
 
