--- a/gateway/policy/outlier_detection.py
+++ b/gateway/policy/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Outlier detection: a backend's failure probability and latency, and the time-outs of its attempts.
+"""Outlier detection: a backend's failure probability and latency, and the timeouts of its attempts.
 
 A backend whose requests fail, or take longer than those of others, is an outlier. It is not ejected. Its
 scores raise its cost, so that it is seldom chosen, and they decay, so that it is tried again.
@@ -18,15 +18,15 @@
 FAILURE_WEIGHT = 0.3
 """Weight of one outcome in the moving averages of a backend's failures."""
 
-MIN_SCORE_MEMORY_MS = 4_000.0
+MIN_SCORE_DECAY_MS = 4_000.0
 """Minimum time constant of the decay of scores."""
 
-SCORE_MEMORY_GAPS = 5.0
+SCORE_DECAY_IN_GAPS = 5.0
 """Time constant of the decay of scores, as a multiple of the mean time between two requests to a backend, so
 that the scores of a backend that is seldom used last from one request to the next. It is bounded by
-`MIN_SCORE_MEMORY_MS` and `MAX_SCORE_MEMORY_MS`."""
+`MIN_SCORE_DECAY_MS` and `MAX_SCORE_DECAY_MS`."""
 
-MAX_SCORE_MEMORY_MS = 15_000.0
+MAX_SCORE_DECAY_MS = 15_000.0
 """Maximum time constant of the decay of scores."""
 
 NEGLIGIBLE_FAILURE_SCORE = 0.01
@@ -37,10 +37,10 @@
 healthy one."""
 
 MIN_TIMEOUT_RATIO = 2.0
-"""Minimum time-out of an attempt, reached at a failing backend, as a multiple of the typical latency."""
+"""Minimum timeout of an attempt, reached at a failing backend, as a multiple of the typical latency."""
 
 INITIAL_TIMEOUT_FRACTION = 0.4
-"""Time-out of an attempt before the typical latency is known, as a fraction of the latency objective."""
+"""Timeout of an attempt before the typical latency is known, as a fraction of the latency objective."""
 
 
 class OutlierDetector:
@@ -57,8 +57,9 @@
         The two scores are combined as if they were independent, relative to the score over all requests.
         """
         scores = backend.scores
+        # A score only decays between updates, so a healthy backend needs no computation.
         if scores.failures.level < NEGLIGIBLE_FAILURE_SCORE:
-            return 0.0  # between updates a score only decays: healthy backends need no computation
+            return 0.0
         overall_level = self._decayed(now, scores.failures)
         if overall_level < NEGLIGIBLE_FAILURE_SCORE:
             return 0.0
@@ -69,11 +70,11 @@
         return min(1.0, self._decayed(now, class_score) * self._decayed(now, plan_score) / overall_level)
 
     def expected_latency(self, now: float, backend: Backend) -> float:
-        """Return the expected latency of a backend in milliseconds, without its queue and its failures."""
+        """Return the expected latency of a backend in milliseconds, regardless of queue and failures."""
         return max(1.0, self.stats.typical_latency_ms + self._decayed(now, backend.scores.excess_latency))
 
     def attempt_timeout(self, now: float, attempt: Attempt) -> float:
-        """Return the milliseconds that a response may take before the attempt counts as lost."""
+        """Return the milliseconds that a response may take before the attempt is overdue."""
         if not self.stats.typical_latency_ms:
             return INITIAL_TIMEOUT_FRACTION * attempt.request.request_class.latency_objective_ms
         failure_probability = self.failure_probability(now, attempt.backend, attempt.request)
@@ -112,5 +113,5 @@
     def _decayed(self, now: float, score: Score) -> float:
         """Return the level of a score now; scores decay more slowly where backends are seldom used."""
         gap_ms = len(self.endpoint_subset.backends) * 1000 / max(self.stats.response_rate, 0.1)
-        memory_ms = max(MIN_SCORE_MEMORY_MS, min(MAX_SCORE_MEMORY_MS, SCORE_MEMORY_GAPS * gap_ms))
-        return score.level * math.exp((score.updated_at - now) / memory_ms)
+        decay_ms = max(MIN_SCORE_DECAY_MS, min(MAX_SCORE_DECAY_MS, SCORE_DECAY_IN_GAPS * gap_ms))
+        return score.level * math.exp((score.updated_at - now) / decay_ms)
