--- a/benchmarks/capacity_slopes/backend_choice.py
+++ b/benchmarks/capacity_slopes/backend_choice.py
@@ -1,6 +1,6 @@
 """Scenario `pick`: the processor time of a backend choice and of a request, by the size of the subset.
 
-The time of a request includes all its events.
+A request's time includes the handling of all its events.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 OpenAttempt = tuple[str, int, int]
-"""Request id, number and backend id of an attempt; a plain tuple, because its creation is timed too."""
+"""Request id, number and backend id of an attempt; a plain tuple, to add little to the measured time."""
 
 
 class BusyGateway:
@@ -51,7 +51,7 @@
         for _ in range(requests):
             self._now += 1000 / REQUEST_RATE
             request_id = f"{int(self._now * 10):016x}"
-            # Keyword arguments or a call of `arrival_event` would be timed too.
+            # Keyword arguments or a call of `arrival_event` would add to the measured time.
             arrived = RequestArrived(
                 request_id, REQUEST_CLASS, "free", "c", self._now + DEADLINE_MS, 1.0, 1, 0
             )
--- a/benchmarks/capacity_slopes/backend_statistics.py
+++ b/benchmarks/capacity_slopes/backend_statistics.py
@@ -1,4 +1,4 @@
-"""Scenario `scores`: the memory of one backend's outlier scores, with a request class for each route."""
+"""Scenario `scores`: the memory of one backend's outlier scores if each route has its own request class."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 
 
 def configured_policy(document: dict[str, Any]) -> GatewayPolicy:
-    """Return a policy with the settings of `document`."""
+    """Return a policy with the settings document `document`."""
     return GatewayPolicy(parse_settings(document), 1)
 
 
--- a/benchmarks/capacity_slopes/counter_outage.py
+++ b/benchmarks/capacity_slopes/counter_outage.py
@@ -1,4 +1,4 @@
-"""Scenario `outage`: usage forwarded while the counter cannot be reached, and unreported afterwards."""
+"""Scenario `outage`: usage forwarded during a counter outage, and usage not yet reported at its end."""
 
 from __future__ import annotations
 
@@ -65,7 +65,7 @@
 def measure_outage(gateway_set_size: int, request_rate: float) -> list[float]:
     """Return the forwarded fraction of the quota in each phase, and the unreported usage.
 
-    The unreported usage is measured at the end of the outage, in bursts per customer, and stands before the
+    The unreported usage is measured at the end of the outage, in bursts per customer, and precedes the
     fraction of the last phase.
     """
     fleet = VirtualFleet(gateway_set_size, metered_plan(PLAN_RATE, BURST))
--- a/benchmarks/capacity_slopes/discovery_starts.py
+++ b/benchmarks/capacity_slopes/discovery_starts.py
@@ -42,9 +42,9 @@
 
 
 def measure_start(gateways: int) -> tuple[object, ...]:
-    """Return the figures of a start of `gateways` gateways.
+    """Return the numbers of calls and the delays when `gateways` gateways start together.
 
-    They are the calls in the busiest second, the rejected calls, and the seconds until half of the gateways
+    These are the calls in the busiest second, the rejected calls, and the seconds until half of the gateways
     and until all of them have the list.
     """
     rng = random.Random(1)
--- a/benchmarks/capacity_slopes/known_customers.py
+++ b/benchmarks/capacity_slopes/known_customers.py
@@ -43,7 +43,7 @@
 
 
 class QuotaCase(NamedTuple):
-    """Burst and number of gateways of a customer: they decide between local leases and a shared bucket."""
+    """A customer's burst and number of gateways, which decide between local leases and a shared bucket."""
 
     burst: int
     gateways_per_customer: int
@@ -69,11 +69,11 @@
         self.send_requests(range(count))
 
     def send_requests(self, customers: Iterable[int]) -> None:
-        """Send a request of each customer, a second after the previous ones, and answer all counter calls."""
+        """Send a request of each customer, a second after the last round; respond to all counter calls."""
         self._now += REQUEST_INTERVAL_MS
         postpone_idle_search(self.policy, self._now)
         for customer in customers:
-            # A call of `arrival_event` would be timed too.
+            # A call of `arrival_event` would add to the measured time.
             arrived = RequestArrived(
                 request_id=REQUEST_ID,
                 request_class=REQUEST_CLASS,
@@ -119,7 +119,10 @@
 
 
 def measure_customers(count: int, quota: QuotaCase) -> tuple[object, ...]:
-    """Return `count`, the bytes per customer, and the processor times of a request and of the idle search."""
+    """Return the table row for `count` customers: `count`, bytes per customer, and processor times in us.
+
+    The times are those of a request, of a request with a counter call, and of the idle search per customer.
+    """
     create_gateway = partial(GatewayWithKnownCustomers, count, quota)
     bytes_per_customer = retained_bytes(partial(create_gateway, counter_available=False)) // count
     without_counter = create_gateway(counter_available=False)
--- a/benchmarks/capacity_slopes/listed_backends.py
+++ b/benchmarks/capacity_slopes/listed_backends.py
@@ -29,7 +29,7 @@
 LIST_SIZES = (1_000, 10_000, 39_000)
 LIST_VERSION = 1_000_000
 SLOW_WORK_RUNS = 3
-"""Number of runs of work that takes long."""
+"""Number of runs when work that takes long is measured."""
 
 CONNECT_TIMEOUT_MS = 250.0
 KEEPALIVE_MS = 15_000.0
@@ -65,7 +65,7 @@
 
 
 def print_change_size() -> None:
-    """Print the bytes that the change of one backend and a heartbeat take on the watch."""
+    """Print the sizes on the watch, in bytes, of one backend's change and of a heartbeat."""
     change = encode_snapshot_or_delta([encode_backend(1_000, "draining")], is_snapshot=False)
     line_size = len(change) + 1
     chunk_size = len(encode_chunk(change))
@@ -123,7 +123,7 @@
 
 
 def policy_with_list(endpoints: tuple[Endpoint, ...]) -> GatewayPolicy:
-    """Return a policy that has applied a complete list; it orders a long one in several steps."""
+    """Return a policy that has applied a complete list; a long list takes several steps to apply."""
     policy = GatewayPolicy(make_settings(gateways=FLEET_GATEWAYS), 1)
     actions = policy.handle(START_MS, snapshot_event(endpoints))
     while actions:
@@ -152,8 +152,8 @@
 def add_to_pool(pool: BackendPool, endpoints: tuple[Endpoint, ...]) -> list[None]:
     """Add the addresses of all backends to the pool, and return a list with an entry for each.
 
-    The measured memory includes this list, which takes 8 bytes per backend; so do the figures of
-    docs/CAPACITY.md.
+    The measured memory, and with it the figures of docs/CAPACITY.md, includes this list of 8 bytes per
+    backend.
     """
     ready = EndpointState.READY
     return [
--- a/benchmarks/capacity_slopes/measurement.py
+++ b/benchmarks/capacity_slopes/measurement.py
@@ -22,7 +22,7 @@
 
 
 def retained_bytes(create: Callable[[], object]) -> int:
-    """Return the bytes that `create` leaves allocated, those of its result included."""
+    """Return the bytes that `create` leaves allocated, including its result."""
     gc.collect()
     tracemalloc.start()
     created = create()
--- a/benchmarks/capacity_slopes/policies.py
+++ b/benchmarks/capacity_slopes/policies.py
@@ -35,7 +35,7 @@
 """Number of backends in a cell, which is one failure domain."""
 
 REQUEST_ID = "0123456789abcdef"
-"""Id of requests that can share one, because each of them ends before the next arrives."""
+"""Id that requests can share if each of them ends before the next arrives."""
 
 REQUEST_CLASS = "timetable-read"
 UNLIMITED_PLAN: dict[str, Any] = {"name": "free"}
--- a/benchmarks/capacity_slopes/policy_internals.py
+++ b/benchmarks/capacity_slopes/policy_internals.py
@@ -9,7 +9,7 @@
 
 
 def postpone_idle_search(policy: GatewayPolicy, now: float) -> None:
-    """Make the policy search for idle customers no sooner than after a full interval."""
+    """Postpone the policy's next search for idle customers until a full interval after `now`."""
     policy.leases.swept_at = now
 
 
@@ -49,7 +49,7 @@
 
 
 def choose_backends(policy: GatewayPolicy, now: float, count: int) -> None:
-    """Choose a backend `count` times, each time as for a request that has not been forwarded yet."""
+    """Choose a backend `count` times for a request that has not been forwarded yet."""
     pending = next(iter(policy.requests.values()))
     request = dataclasses.replace(pending, tried_backend_ids=set(), possibly_run_attempts=[])
     for _ in range(count):
--- a/benchmarks/capacity_slopes/virtual_fleet.py
+++ b/benchmarks/capacity_slopes/virtual_fleet.py
@@ -1,6 +1,7 @@
-"""Gateways in virtual time, with a counter that answers each call and backends that always succeed.
+"""Gateways in virtual time, with their counter, and with backends that always succeed.
 
-The answer of the counter is a connection error while `VirtualFleet.is_counter_up` is false.
+Every counter call gets a response: a connection error while `VirtualFleet.is_counter_up` is false, else the
+total.
 """
 
 from __future__ import annotations
--- a/scale/checkout.py
+++ b/scale/checkout.py
@@ -1,4 +1,4 @@
-"""Checkouts of the program: checks, commits, and the import of the program from one of them."""
+"""Checkouts of the program: their validation and commits, and the import of the program from one of them."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 """Files that a folder must contain to be accepted as a checkout."""
 
 GIT_TIMEOUT_S = 10.0
-"""Time-out of each git command, in seconds."""
+"""Timeout of each git command, in seconds."""
 
 
 def resolve_checkout(folder: str) -> Path:
--- a/scale/client_connections.py
+++ b/scale/client_connections.py
@@ -10,7 +10,7 @@
 from .resp import parse_reply
 
 REQUEST_TIMEOUT_S = DEADLINE_MS / 1000 + 0.5
-"""Time-out of a request: the deadline, within which a gateway responds, plus time for the network."""
+"""Timeout of a request, in seconds: the deadline for the gateway's reply, plus time for the network."""
 
 
 class ClientConnection(asyncio.Protocol):
@@ -24,7 +24,8 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Store the transport."""
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's class does not derive from it
+        # uvloop's transports do not derive from `asyncio.Transport`.
+        self._transport = cast(asyncio.Transport, transport)
 
     def send(self, request: LoadRequest) -> None:
         """Send a request on this idle connection."""
@@ -33,7 +34,7 @@
         self._transport.write(request.command)
 
     def data_received(self, data: bytes) -> None:
-        """Once the reply is complete, record it and mark the connection as idle."""
+        """Record the reply once it is complete, and mark the connection as idle."""
         self._buffer += data
         reply = parse_reply(self._buffer)
         if reply is None or self.request is None:
@@ -52,7 +53,7 @@
         self._target.on_connection_lost(self, request, reply_begun=bool(self._buffer))
 
     def expire_request(self, sent_before: float) -> None:
-        """Fail the request in flight and abort the connection, if the request was sent before a time.
+        """Fail the request in flight and abort the connection, if the request was sent before `sent_before`.
 
         `sent_before` is in monotonic seconds.
         """
@@ -94,7 +95,7 @@
         try:
             async with asyncio.timeout(REQUEST_TIMEOUT_S):
                 await loop.create_connection(lambda: connection, LOOPBACK, self._port)
-        except OSError:  # also a TimeoutError
+        except OSError:  # includes TimeoutError
             request.end(None)
             return
         self._connections.add(connection)
@@ -105,7 +106,7 @@
     ) -> None:
         """Remove the connection; retry its request once, unless a part of the reply had arrived.
 
-        The retry is there because a gateway may close an idle connection.
+        The retry is needed because a gateway may close an idle connection.
         """
         self._connections.discard(connection)
         if connection in self.idle_connections:
--- a/scale/command_options.py
+++ b/scale/command_options.py
@@ -59,7 +59,7 @@
 
 
 def program_option(command: Command) -> Command:
-    """Add the option of commands that can measure several checkouts in one run."""
+    """Add the option `--program` of commands that can measure several checkouts in one run."""
     return click.option(
         "--program",
         "programs",
--- a/scale/control_bench.py
+++ b/scale/control_bench.py
@@ -18,10 +18,10 @@
 """Single changes announced per second; at this rate the event loop is idle between two changes."""
 
 BURST_TIMEOUT_S = 60.0
-"""Time-out for applying single changes, a burst in one message or a backlog, in seconds."""
+"""Timeout for applying single changes, a burst in one message or a backlog, in seconds."""
 
 RESPONSE_SLACK_S = 3.0
-"""Extra time, in seconds, for a worker to respond after its work timed out; then it counts as stalled."""
+"""Seconds that a worker may take to respond after its work timed out, before it counts as stalled."""
 
 
 @dataclass(kw_only=True)
@@ -40,7 +40,7 @@
     start_measurement: StartMeasurement
 
     async def measure_idle_cpu_ms(self) -> float:
-        """Return the processor time without changes, in ms, over the interval between two single changes."""
+        """Return the idle processor time in ms per interval between two single changes."""
         await self._begin_phase()
         await asyncio.sleep(self.single_changes / SINGLE_CHANGE_RATE)
         measurement: ControlMeasurement = await self.gateway.call("end", wait_s=0.0)
@@ -58,7 +58,7 @@
         return await self._announce_until_applied(await self._prepare_batch([]), BURST_TIMEOUT_S)
 
     async def run_burst(self, event_sizes: list[int]) -> ControlMeasurement:
-        """Announce watch events of the given sizes, in changes, in one write; return the measurement.
+        """Announce watch events with these numbers of changes in one write; return the measurement.
 
         Raises:
             RunError: the changes were not applied within `BURST_TIMEOUT_S`.
@@ -70,8 +70,8 @@
     async def run_single_messages(self, message_count: int, timeout_s: float) -> ControlMeasurement:
         """Announce `message_count` watch events of one change each in one write; return the measurement.
 
-        If the work is not complete after `timeout_s`, or the process no longer responds, the returned values
-        are lower bounds.
+        If the gateway does not apply all of them within `timeout_s`, or no longer responds, the returned
+        values are lower bounds.
         """
         batch_id = await self._prepare_batch([1] * message_count)
         await self._begin_phase()
@@ -115,7 +115,10 @@
         return float(times.user + times.system)
 
     async def _prepare_batch(self, event_sizes: list[int]) -> int:
-        """Prepare watch events of the given sizes and the marker's event; return the batch id."""
+        """Prepare watch events with these numbers of changes, then one for the marker; return the batch id.
+
+        The marker is a backend whose change, announced last, shows when the gateway has applied the batch.
+        """
         batch_id: int = await self.environment.discovery.call("prepare", counts=event_sizes, with_marker=True)
         return batch_id
 
@@ -125,7 +128,7 @@
         await self.gateway.call("begin", marker_host=marker_host)
 
     async def _announce_batch(self, batch_id: int, timeout_s: float) -> ControlMeasurement:
-        """Announce a batch; return the measurement until the marker is applied or the time-out passes."""
+        """Announce a batch; return the measurement until the marker is applied or the timeout passes."""
         await self.environment.discovery.call("announce", batch_id=batch_id)
         measurement: ControlMeasurement = await self.gateway.call(
             "end", wait_s=timeout_s, timeout_s=timeout_s + RESPONSE_SLACK_S
--- a/scale/control_options.py
+++ b/scale/control_options.py
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class SteadyPhase:
-    """A phase with a constant rate of changes per second and a number of customers of the whole fleet."""
+    """A phase at constant load: changes per second, and the number of customers in the whole fleet."""
 
     change_rate: float = 0.0
     customers: int = 0
@@ -44,12 +44,12 @@
     """Duration of each steady phase, in seconds."""
 
     messages_timeout_s: float
-    """Time-out for applying the burst of messages with one change each, in seconds."""
+    """Timeout for applying the burst of messages with one change each, in seconds."""
 
     repeats: int
 
     def check(self) -> None:
-        """Check that the machine has the memory and allows the processes for these sizes.
+        """Check that a run of these sizes stays within the limits on memory and processes.
 
         Raises:
             UsageError: the run needs too much memory or too many processes.
--- a/scale/control_report.py
+++ b/scale/control_report.py
@@ -38,7 +38,7 @@
     ("counter, bytes/s", "counter_bytes_per_s"),
     ("counter, calls per request", "calls_per_request"),
 )
-"""Title and figure name of each row that the steady table has for a steady phase."""
+"""Title and figure name of each row that a phase has in the steady table."""
 
 
 def print_result(console: Console, result: Result) -> None:
--- a/scale/customers.py
+++ b/scale/customers.py
@@ -51,7 +51,7 @@
         return PickedCustomer(self._population.first_number + number, first_gateway)
 
     def make_command(self, gateway: int, request_id: int) -> list[bytes]:
-        """Return the arguments of a command of a random customer that `gateway` serves."""
+        """Return the RESP arguments of a request by a random customer that `gateway` serves."""
         customer, first_gateway = self.pick(gateway)
         attributes = (
             f"c={REQUEST_CLASS_NAME},t={PLAN_NAME},d={DEADLINE_MS},units=1"
--- a/scale/event_loop_probe.py
+++ b/scale/event_loop_probe.py
@@ -17,7 +17,8 @@
     def _reset(self) -> None:
         self.max_stall_wall_ms = 0.0
         self.max_stall_cpu_ms = 0.0
-        self.update_stall_cpu_ms: list[float] = []  # iterations that applied a part of the list or a change
+        # Processor time of each iteration that applied a part of the list or a change.
+        self.update_stall_cpu_ms: list[float] = []
         self._has_update = False
 
     def begin(self) -> None:
--- a/scale/fakes/backends.py
+++ b/scale/fakes/backends.py
@@ -1,4 +1,4 @@
-"""Fake backends, which reply to each request after a latency, with the time that it actually took."""
+"""Fake backends, which reply to each request after a fixed latency, with the time that it actually took."""
 
 from __future__ import annotations
 
--- a/scale/fakes/counter.py
+++ b/scale/fakes/counter.py
@@ -13,7 +13,7 @@
 """Seconds between two searches for expired totals."""
 
 MAX_LIFETIME_MS = 60_000.0
-"""Maximum lifetime of a total, in milliseconds; a longer one in a call is cut to this."""
+"""Maximum lifetime of a total, in milliseconds; a call's longer lifetime is reduced to it."""
 
 
 @dataclass(slots=True)
--- a/scale/fakes/discovery.py
+++ b/scale/fakes/discovery.py
@@ -23,7 +23,7 @@
 """An empty line in HTTP's chunked transfer coding."""
 
 CHANGE_HISTORY_LENGTH = 20_000
-"""Watch events that are kept for new watches; a watch that has missed more gets a snapshot."""
+"""Number of watch events kept for new watches; a watch that has missed more gets a snapshot."""
 
 MAX_HEAD_BYTES = 64 * 1024
 """Maximum size of the head of an HTTP request, in bytes."""
@@ -108,9 +108,9 @@
                 watch.write(HEARTBEAT)
 
     def prepare(self, counts: list[int], *, with_marker: bool = False) -> int:
-        """Create a batch with a watch event of `count` changes for each count; return its id for `announce`.
+        """Create a batch of watch events with these numbers of changes; return its id for `announce`.
 
-        With a marker, the batch ends with an event that changes a backend that no other event changes.
+        `with_marker` adds a last event, which changes the marker: a backend that no other event changes.
         """
         batch_id = next(self._batch_ids)
         changes = [self.endpoints.change(count) for count in counts]
@@ -155,7 +155,7 @@
 
 
 def encode_chunk(line: bytes) -> bytes:
-    """Return a line, with a newline, as a chunk of HTTP's chunked transfer coding."""
+    """Return a line and a newline as one chunk of HTTP's chunked transfer coding."""
     return b"%x\r\n%b\n\r\n" % (len(line) + 1, line)
 
 
--- a/scale/fakes/endpoint_list.py
+++ b/scale/fakes/endpoint_list.py
@@ -97,7 +97,7 @@
     def change(self, count: int) -> Change:
         """Change the next `count` backends, each to the next state of its life cycle.
 
-        They are distinct, so one call changes at most all backends but the marker.
+        A call changes no backend twice, and never the marker, so a larger `count` is reduced.
         """
         count = min(count, len(self._change_order))
         positions = range(self._change_count, self._change_count + count)
--- a/scale/fakes/service.py
+++ b/scale/fakes/service.py
@@ -21,7 +21,8 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Register the connection with the service."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's class does not derive from it
+        # uvloop's transports do not derive from `asyncio.Transport`.
+        self.transport = cast(asyncio.Transport, transport)
         self._service.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - the protocol's signature
--- a/scale/figures.py
+++ b/scale/figures.py
@@ -77,12 +77,12 @@
 
     cpu_ms: NotRequired[float]
     update_cpu_ms: NotRequired[list[float]]
-    """Processor time from each applied part of a list, or change, to the next one."""
+    """Processor time from one update to the next; an update applies a part of a list, or a change."""
 
     max_stall_cpu_ms: NotRequired[float]
     max_stall_wall_ms: NotRequired[float]
     update_stall_cpu_ms: NotRequired[list[float]]
-    """Processor time of each stall in which a part of the list or a change was applied."""
+    """Processor time of each event-loop iteration that applied a part of a list, or a change."""
 
 
 class StartMeasurement(ControlMeasurement):
--- a/scale/fleet_options.py
+++ b/scale/fleet_options.py
@@ -35,7 +35,7 @@
     """Duration of the load around each burst, in seconds."""
 
     change_timeout_s: float
-    """Time-out for a change to be applied by all hollow gateways, in seconds."""
+    """Timeout for a change to be applied by all hollow gateways, in seconds."""
 
     customers: tuple[int, ...]
     gateways_per_customer: tuple[int, ...]
--- a/scale/fleet_run.py
+++ b/scale/fleet_run.py
@@ -27,7 +27,7 @@
 """Offset between the customer numbers of successive phases, so that no customer occurs in an earlier one."""
 
 STEADY_CHANGES = "steady changes"
-"""Name, in tables and in the JSON result, of the phase with changes at an even rate."""
+"""Name of the phase with changes at an even rate, in tables and in the JSON result."""
 
 
 class FleetCounts(NamedTuple):
--- a/scale/histogram.py
+++ b/scale/histogram.py
@@ -87,7 +87,7 @@
 
 
 def summarize(values: Sequence[float]) -> RepeatSummary:
-    """Return the summary of measured values in their own unit, with all values 0 if there are none."""
+    """Return the minimum, median and maximum of measured values, or zeros if there are none."""
     values = values or [0.0]
     return {
         "min": round(min(values), SUMMARY_DECIMALS),
--- a/scale/hollow_fleet.py
+++ b/scale/hollow_fleet.py
@@ -14,7 +14,7 @@
 from .propagation import NOT_APPLIED
 
 POLL_INTERVAL_S = 0.05
-"""Seconds between two checks for whether changes are applied."""
+"""Seconds between two checks of whether the changes have been applied."""
 
 
 class HollowFleet:
@@ -54,7 +54,7 @@
         }
 
     async def send_requests(self, customers: dict[str, int], rate: float, seconds: float) -> None:
-        """Give each gateway `rate` requests a second for `seconds` seconds.
+        """Send each gateway `rate` requests a second for `seconds` seconds.
 
         `customers` holds the fields of a `CustomerPopulation`.
         """
@@ -70,7 +70,7 @@
         """
         deadline = time.monotonic() + wait_s
         changes = [(backend_id_of(host), at) for host, at in zip(hosts, announced_at, strict=True)]
-        # Only the last change is polled: looking up each change would take time that is measured.
+        # Only the last change is polled: looking up each change would add to the measured time.
         while changes and time.monotonic() < deadline and not self._is_applied(*changes[-1]):
             await asyncio.sleep(POLL_INTERVAL_S)
         return [[self._delay_ms(gateway, *change) for gateway in self._gateways] for change in changes]
--- a/scale/hollow_gateway.py
+++ b/scale/hollow_gateway.py
@@ -77,7 +77,11 @@
     """A hollow gateway that records when each change of the endpoint list was applied."""
 
     def __init__(self, raw_config: dict[str, Any], on_update: Callable[[], None] | None = None) -> None:
-        """`raw_config` holds no cached list; `on_update` is called after each part of a snapshot or delta."""
+        """Create a gateway that reads the whole list at its start, without a cached list.
+
+        `raw_config` is a decoded configuration file; `on_update` is called after each part of a snapshot or
+        delta.
+        """
         config = parse_config(raw_config)
         parts = PartFactory(config, TimerQueue(asyncio.get_running_loop()))
         self.index = config.settings.gateway_index
@@ -127,7 +131,7 @@
             self._watch_task.result()
 
     def applied_at(self, backend_id: int, since: float) -> float | None:
-        """Return when a change of a backend was first applied from `since` on, or None if none was yet.
+        """Return when a change of a backend was first applied at or after `since`, or None if it was not yet.
 
         Both times are in monotonic seconds.
         """
@@ -142,7 +146,7 @@
         self.applied_deltas.clear()
 
     def send_request(self, customers: CustomerSampler) -> None:
-        """Give the dispatcher a request of one of the customers that this gateway serves."""
+        """Send the dispatcher a request of a random customer that this gateway serves."""
         command = self._parser.parse(customers.make_command(self.index, next(self._request_ids)))
         self.sent_requests += 1
         self._dispatcher.on_request(command, CountedReply(self))
@@ -159,7 +163,7 @@
 async def send_requests(
     gateways: list[HollowGateway], customers: CustomerSampler, *, rate: float, seconds: float
 ) -> None:
-    """Give each gateway `rate` requests a second at even intervals, for `seconds` seconds."""
+    """Send each gateway `rate` requests a second at even intervals, for `seconds` seconds."""
     started_at = time.monotonic()
     total_rate = rate * len(gateways)
     async for due in due_requests(rate=total_rate, seconds=seconds, interval_s=REQUEST_INTERVAL_S):
@@ -169,7 +173,7 @@
 
 
 def freeze_garbage_collector() -> float:
-    """Collect garbage and freeze the rest, as a gateway does when it starts; return the wall time in ms."""
+    """Collect garbage and freeze what remains, as a gateway does at startup; return the wall time in ms."""
     started_at = time.perf_counter()
     gc.collect()
     gc.freeze()
--- a/scale/hollow_processes.py
+++ b/scale/hollow_processes.py
@@ -74,7 +74,7 @@
         return HollowTotals.add_up(await self._call_all(0.0, "read"))
 
     async def send_requests(self, customers: CustomerPopulation, *, rate: float, seconds: float) -> None:
-        """Give each gateway `rate` requests a second of the customers it serves, for `seconds` seconds."""
+        """Send each gateway `rate` requests a second of the customers it serves, for `seconds` seconds."""
         await self._call_all(seconds, "send_requests", customers=customers, rate=rate, seconds=seconds)
 
     async def propagation_delays(
--- a/scale/machine.py
+++ b/scale/machine.py
@@ -95,7 +95,7 @@
     `descriptors` counts the connections of the process that has the most of them.
 
     Raises:
-        UsageError: the run needs more of one of them.
+        UsageError: the run needs more memory, processes or file descriptors.
     """
     total_mb = psutil.virtual_memory().total / 2**20
     if needed_mb > total_mb * MAX_MEMORY_SHARE:
--- a/scale/measured_gateway.py
+++ b/scale/measured_gateway.py
@@ -28,7 +28,7 @@
 
 
 class MeasuredGateway:
-    """Runs one hollow gateway, and measures its stalls if it has a probe, or else its processor time."""
+    """Runs one hollow gateway; measures its stalls with a probe, or its processor time without one."""
 
     def __init__(self) -> None:
         self._gateway: HollowGateway | None = None
@@ -56,7 +56,7 @@
     ) -> StartMeasurement:
         """Start the gateway, which reads the whole list; return the measurement of the start.
 
-        `customers` holds the fields of `CustomerPopulation`.
+        `customers` holds the fields of a `CustomerPopulation`.
         """
         self._customers = CustomerSampler(CustomerPopulation(**customers))
         self._probe = EventLoopProbe() if probe_loop else None
@@ -90,7 +90,7 @@
         return self._end_phase(is_complete=self._is_marker_applied)
 
     def _search_for_marker(self) -> None:
-        """Search all watch events for the marker, once no event has come for `SETTLE_S`."""
+        """Search all applied deltas for the marker, once none has been applied for `SETTLE_S`."""
         assert self._gateway is not None
         events = self._gateway.applied_deltas
         if self._is_marker_applied or not events or time.monotonic() - events[-1].applied_at <= SETTLE_S:
--- a/scale/propagation.py
+++ b/scale/propagation.py
@@ -9,7 +9,7 @@
 from .histogram import nearest_rank, summarize
 
 MAX_SAMPLED_CHANGES = 1_000
-"""Maximum number of changes that are looked up at each gateway; more are sampled at even intervals."""
+"""Maximum number of changes looked up at each gateway; a larger number is sampled at even intervals."""
 
 NOT_APPLIED = -1.0
 """Placeholder for the delay, in milliseconds, of a change that was not applied in time."""
@@ -26,7 +26,7 @@
     """Summary of propagation delays.
 
     For each change, `p50_ms`, `p99_ms` and `max_ms` are the delays until 50 %, 99 % and all of the gateways
-    had applied it; the summaries are over the changes.
+    had applied it; each is summarized over the sampled changes.
     """
 
     changes: int
@@ -61,7 +61,7 @@
     """Summarize the delays of the sampled changes; `changes` is the number of all announced changes.
 
     For each sampled change there is one delay per gateway, in milliseconds. A change that was not applied
-    counts with the time-out, which its delay exceeds.
+    counts with the timeout, which its delay exceeds.
     """
     missing = sum(delay_ms == NOT_APPLIED for delays in delays_by_change for delay_ms in delays)
     timeout_ms = timeout_s * 1000
--- a/scale/quickstart.py
+++ b/scale/quickstart.py
@@ -1,4 +1,4 @@
-"""Quickstart scenario, the smallest run: a few real gateways and fake services under load for seconds."""
+"""Quickstart scenario, the smallest run: a few seconds of load on a few real gateways and fake services."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from .tables import make_table, print_run
 
 GATEWAYS_PER_CUSTOMER = 2
-"""Gateways that serve each customer; with fewer gateways, all of them do."""
+"""Number of gateways that serve each customer; if the run has fewer, all of them do."""
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/scale/resp.py
+++ b/scale/resp.py
@@ -63,7 +63,7 @@
 def parse_reply(data: bytes) -> bytes | None:
     """Return a gateway's reply, or None while it is incomplete.
 
-    A bulk string is returned as `$` and its value, any other reply as its first line, with its sign.
+    A bulk string is returned as `$` and its value, any other reply as its first line, with its type byte.
     """
     head_end = data.find(CRLF)
     if head_end < 0:
--- a/scale/result.py
+++ b/scale/result.py
@@ -28,7 +28,7 @@
 
 @dataclass(kw_only=True)
 class Goal:
-    """An upper limit for a figure."""
+    """An upper limit for a figure, and the measured value that is compared with it."""
 
     name: str
     unit: str
@@ -53,7 +53,7 @@
 
 @dataclass(kw_only=True)
 class Result:
-    """The measurements of a run, and the conditions that they were taken under."""
+    """The measurements of a run, with the options, the checkouts and the machine that they depend on."""
 
     scenario: str
     options: dict[str, Any]
@@ -79,7 +79,7 @@
         )
 
     def label(self, program: str) -> str:
-        """Return the letter of a checkout in tables after a space, or "" if it is the only checkout."""
+        """Return a space and the checkout's letter in tables, or "" if it is the only checkout."""
         if len(self.programs) == 1:
             return ""
         return f" {ascii_uppercase[list(self.programs).index(program)]}"
@@ -153,7 +153,7 @@
         """Write the result to the file, if there is one.
 
         Raises:
-            RunError: the file could be written when the run began, but no longer.
+            RunError: the file has become unwritable since the run began.
         """
         if self._path is None:
             return
--- a/scale/runner.py
+++ b/scale/runner.py
@@ -32,7 +32,7 @@
 
 
 async def run_interruptibly(scenario: Scenario, progress: Console) -> Result:
-    """Run a scenario until it is complete or a signal cancels it; either way all its processes have exited.
+    """Run a scenario until it is complete or a signal cancels it; its processes have all exited on return.
 
     The signal handlers replace the inherited dispositions: a shell without job control starts background
     jobs with SIGINT ignored, and asyncio's own handler leaves an ignored SIGINT ignored.
--- a/scale/supervisor.py
+++ b/scale/supervisor.py
@@ -24,7 +24,7 @@
 """Seconds that a worker may take to exit after its input has closed, before it is killed."""
 
 CALL_TIMEOUT_S = 120.0
-"""Default time-out of a call, in seconds: enough for a start on a busy machine."""
+"""Default timeout of a call, in seconds: enough for a start on a busy machine."""
 
 
 class WorkerProcess:
@@ -83,7 +83,7 @@
             self._pending_calls.pop(call.call_id, None)
 
     async def call_lasting(self, duration_s: float, method: str, /, **arguments: Any) -> Any:
-        """Call a method that runs for `duration_s`; the default time-out is added to that."""
+        """Call a method that runs for `duration_s`; the call's timeout is `CALL_TIMEOUT_S` longer."""
         return await self.call(method, timeout_s=duration_s + CALL_TIMEOUT_S, **arguments)
 
     async def stop(self) -> None:
@@ -114,7 +114,7 @@
 
 
 class Supervisor:
-    """Owns the workers of a run; they have all exited when its `async with` block is left, in any way."""
+    """Owns the workers of a run; all have exited once its `async with` block ends, even by an exception."""
 
     def __init__(self) -> None:
         self._workers: list[WorkerProcess] = []
@@ -135,7 +135,7 @@
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
             stderr=stderr,
-            start_new_session=True,  # Ctrl-C reaches only the main process, which stops all in order
+            start_new_session=True,  # Ctrl-C reaches only the main process, which then stops the workers
             limit=MAX_LINE_BYTES,
         )
         worker = WorkerProcess(role, process, stderr)
--- a/scale/tables.py
+++ b/scale/tables.py
@@ -62,7 +62,7 @@
 
 
 def verdict_line(result: Result) -> str | None:
-    """Return the verdict or why there is none, or None if the run measured no goal."""
+    """Return a line with the verdict, or with the reason why there is none; None if no goal was measured."""
     reason = result.no_verdict_reason()
     if reason == NO_GOAL_MEASURED:
         return None
--- a/scale/worker.py
+++ b/scale/worker.py
@@ -1,7 +1,7 @@
 """A worker process of a run: `python -m scale.worker ROLE [CHECKOUT]`.
 
 It reads calls from standard input, responds to each on standard output, and exits when its input closes, so
-that no process of a run outlives the leading one.
+that no process of a run outlives the main process.
 """
 
 from __future__ import annotations
--- a/scale/worker_protocol.py
+++ b/scale/worker_protocol.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 MAX_LINE_BYTES = 256 * 1024 * 1024
-"""Maximum size of a message, in bytes: one message holds the propagation delays of a thousand changes."""
+"""Maximum size of a message, in bytes; one can hold the propagation delays of a thousand changes."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
--- a/tests/scale/scale_process.py
+++ b/tests/scale/scale_process.py
@@ -85,7 +85,7 @@
         return self.live_processes()
 
     def wait_until_all_exit(self) -> None:
-        """Wait until all processes of the run have exited; only the test's time-out limits the wait."""
+        """Wait until all processes of the run have exited; only the test's timeout limits the wait."""
         while self.live_processes():
             time.sleep(POLL_INTERVAL_S)
 
--- a/tests/scale/test_customers.py
+++ b/tests/scale/test_customers.py
@@ -1,4 +1,4 @@
-"""The customers of a fleet."""
+"""Tests of the choice of customers for a gateway."""
 
 from __future__ import annotations
 
--- a/tests/scale/test_endpoint_list.py
+++ b/tests/scale/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The synthetic endpoint list of the fake discovery."""
+"""Tests of the fake discovery's synthetic endpoint list."""
 
 from __future__ import annotations
 
--- a/tests/scale/test_propagation.py
+++ b/tests/scale/test_propagation.py
@@ -1,4 +1,4 @@
-"""The summary of propagation delays."""
+"""Tests of the sampling and the summary of propagation delays."""
 
 from __future__ import annotations
 
--- a/tests/scale/test_scale.py
+++ b/tests/scale/test_scale.py
@@ -1,4 +1,4 @@
-"""Complete scale runs: their results, the errors that they report, and the exit of all their processes."""
+"""Tests of complete scale runs: their results, reported errors, and the exit of all their processes."""
 
 from __future__ import annotations
 
