--- a/benchmarks/capacity_slopes/backend_statistics.py
+++ b/benchmarks/capacity_slopes/backend_statistics.py
@@ -48,7 +48,7 @@
         now = START_MS + number
         for action in policy.handle(now, arrival_event(now, request_class=f"route-{number}")):
             if isinstance(action, StartAttempt):
-                ended = success_event(action.backend_id, duration_ms=SERVICE_TIME_MS)
+                ended = success_event(action.backend_id, latency_ms=SERVICE_TIME_MS)
                 policy.handle(now + 0.5, ended)
     return policy
 
--- a/benchmarks/capacity_slopes/policies.py
+++ b/benchmarks/capacity_slopes/policies.py
@@ -130,7 +130,7 @@
 
 
 def success_event(
-    backend_id: int, *, request_id: str = REQUEST_ID, duration_ms: float = SERVICE_TIME_MS
+    backend_id: int, *, request_id: str = REQUEST_ID, latency_ms: float = SERVICE_TIME_MS
 ) -> AttemptEnded:
     """Return the successful end of a request's first attempt."""
     return AttemptEnded(
@@ -138,6 +138,6 @@
         attempt_number=0,
         backend_id=backend_id,
         outcome=Outcome.OK,
-        latency_ms=duration_ms,
+        latency_ms=latency_ms,
         request_finished=True,
     )
--- a/scale/fakes/discovery.py
+++ b/scale/fakes/discovery.py
@@ -10,7 +10,7 @@
 
 from scale.figures import Announcement
 
-from .endpoint_list import Change, SyntheticEndpointList
+from .endpoint_list import SyntheticEndpointList, WatchEvent
 from .service import FakeService, ServiceConnection
 
 LIST_PATH = b"/catalog/members"
@@ -22,7 +22,7 @@
 HEARTBEAT = b"1\r\n\n\r\n"
 """An empty line in HTTP's chunked transfer coding."""
 
-CHANGE_HISTORY_LENGTH = 20_000
+EVENT_HISTORY_LENGTH = 20_000
 """Number of watch events kept for new watches; a watch that has missed more gets a snapshot."""
 
 MAX_HEAD_BYTES = 64 * 1024
@@ -60,8 +60,8 @@
         super().__init__()
         self.endpoints = endpoints
         self.watches: dict[DiscoveryConnection, None] = {}  # in the order of opening
-        self._announced: deque[Change] = deque(maxlen=CHANGE_HISTORY_LENGTH)
-        self._prepared: dict[int, list[Change]] = {}
+        self._announced: deque[WatchEvent] = deque(maxlen=EVENT_HISTORY_LENGTH)
+        self._prepared: dict[int, list[WatchEvent]] = {}
         self._batch_ids = itertools.count()
         self._heartbeat_task = asyncio.get_running_loop().create_task(self._send_heartbeats())
 
@@ -96,7 +96,7 @@
         announced_version = self._announced[-1].version if self._announced else 1
         if version == announced_version:
             return []
-        lines = [change.line for change in self._announced if change.version > version]
+        lines = [event.line for event in self._announced if event.version > version]
         if lines and self._announced[0].version <= version + 1 <= announced_version:
             return lines
         return [self.endpoints.snapshot()]
@@ -113,21 +113,21 @@
         `with_marker` adds a last event, which changes the marker: a backend that no other event changes.
         """
         batch_id = next(self._batch_ids)
-        changes = [self.endpoints.change(count) for count in counts]
+        events = [self.endpoints.change(count) for count in counts]
         if with_marker:
-            changes.append(self.endpoints.change_marker())
-        self._prepared[batch_id] = changes
+            events.append(self.endpoints.change_marker())
+        self._prepared[batch_id] = events
         return batch_id
 
     def announce(self, batch_id: int) -> Announcement:
         """Send a prepared batch to all watches, in one write to each."""
-        changes = self._prepared.pop(batch_id)
-        chunks = b"".join(encode_chunk(change.line) for change in changes)
-        self._announced.extend(changes)
+        events = self._prepared.pop(batch_id)
+        chunks = b"".join(encode_chunk(event.line) for event in events)
+        self._announced.extend(events)
         announced_at = time.monotonic()
         for watch in list(self.watches):
             watch.write(chunks)
-        return {"at": announced_at, "hosts": [host for change in changes for host in change.hosts]}
+        return {"at": announced_at, "hosts": [host for event in events for host in event.hosts]}
 
     async def announce_evenly(self, rate: float, seconds: float) -> list[Announcement]:
         """Announce `rate` changes a second for `seconds` seconds, each in its own watch event."""
--- a/scale/fakes/endpoint_list.py
+++ b/scale/fakes/endpoint_list.py
@@ -17,7 +17,7 @@
 """The life cycle of a backend: maps a health to the health after the next change."""
 
 
-class Change(NamedTuple):
+class WatchEvent(NamedTuple):
     """A watch event: the version of the list after it, its JSON line, and the hosts that it changes."""
 
     version: int
@@ -94,7 +94,7 @@
             self._snapshot = encode_list(self.version, listed, is_snapshot=True)
         return self._snapshot
 
-    def change(self, count: int) -> Change:
+    def change(self, count: int) -> WatchEvent:
         """Change the next `count` backends, each to the next state of its life cycle.
 
         A call changes no backend twice, and never the marker, so a larger `count` is reduced.
@@ -104,11 +104,11 @@
         self._change_count += count
         return self._apply([self._change_order[position % len(self._change_order)] for position in positions])
 
-    def change_marker(self) -> Change:
+    def change_marker(self) -> WatchEvent:
         """Change the marker, to the next state of its life cycle."""
         return self._apply([self._marker])
 
-    def _apply(self, numbers: list[int]) -> Change:
+    def _apply(self, numbers: list[int]) -> WatchEvent:
         for number in numbers:
             entry = self.entries[number]
             entry["health"] = NEXT_HEALTH[str(entry["health"])]
@@ -119,4 +119,4 @@
         self._snapshot = b""
         changed = (self._encoded_entries[number] for number in numbers)
         line = encode_list(self.version, changed, is_snapshot=False)
-        return Change(self.version, line, [str(self.entries[number]["host"]) for number in numbers])
+        return WatchEvent(self.version, line, [str(self.entries[number]["host"]) for number in numbers])
--- a/scale/fakes/service.py
+++ b/scale/fakes/service.py
@@ -55,11 +55,11 @@
         self._bytes_received = 0
         self._servers: list[asyncio.Server] = []
 
-    async def listen(self, connect: Callable[[], ServiceConnection], ports: int = 1) -> list[int]:
+    async def listen(self, protocol_factory: Callable[[], ServiceConnection], ports: int = 1) -> list[int]:
         """Listen on `ports` free ports, and return their numbers."""
         loop = asyncio.get_running_loop()
         for _ in range(ports):
-            server = await loop.create_server(connect, LOOPBACK, 0, backlog=LISTEN_BACKLOG)
+            server = await loop.create_server(protocol_factory, LOOPBACK, 0, backlog=LISTEN_BACKLOG)
             self._servers.append(server)
         return [server.sockets[0].getsockname()[1] for server in self._servers]
 
--- a/scale/measured_gateway.py
+++ b/scale/measured_gateway.py
@@ -92,8 +92,8 @@
     def _search_for_marker(self) -> None:
         """Search all applied deltas for the marker, once none has been applied for `SETTLE_S`."""
         assert self._gateway is not None
-        events = self._gateway.applied_deltas
-        if self._is_marker_applied or not events or time.monotonic() - events[-1].applied_at <= SETTLE_S:
+        deltas = self._gateway.applied_deltas
+        if self._is_marker_applied or not deltas or time.monotonic() - deltas[-1].applied_at <= SETTLE_S:
             return
         self._is_marker_applied = self._gateway.applied_at(self._marker_id, 0.0) is not None
         if self._probe is not None:
--- a/tests/scale/scale_process.py
+++ b/tests/scale/scale_process.py
@@ -24,7 +24,7 @@
 RUN_ID_VARIABLE = "SCALE_TEST_RUN_ID"
 """Environment variable that identifies a run; all processes of the run inherit it."""
 
-READY_LINE = "ready: "
+READY_PREFIX = "ready: "
 """Prefix of the progress line that a run prints once all its processes have started."""
 
 POLL_INTERVAL_S = 0.02
@@ -81,7 +81,7 @@
     def wait_until_ready(self) -> list[psutil.Process]:
         """Wait until all processes of the run have started, and return them."""
         assert self._process.stderr is not None
-        assert any(line.startswith(READY_LINE) for line in self._process.stderr)
+        assert any(line.startswith(READY_PREFIX) for line in self._process.stderr)
         return self.live_processes()
 
     def wait_until_all_exit(self) -> None:
