--- a/scale/fakes/endpoint_list.py
+++ b/scale/fakes/endpoint_list.py
@@ -95,7 +95,7 @@
         return self._snapshot
 
     def change(self, count: int) -> WatchEvent:
-        """Change the next `count` backends, each to the next state of its life cycle.
+        """Change each of the next `count` backends to its next health; return the watch event.
 
         A call changes no backend twice, and never the marker, so a larger `count` is reduced.
         """
@@ -105,7 +105,7 @@
         return self._apply([self._change_order[position % len(self._change_order)] for position in positions])
 
     def change_marker(self) -> WatchEvent:
-        """Change the marker, to the next state of its life cycle."""
+        """Change the marker to its next health; return the watch event."""
         return self._apply([self._marker])
 
     def _apply(self, numbers: list[int]) -> WatchEvent:
