--- a/benchmarks/capacity_slopes/backend_statistics.py
+++ b/benchmarks/capacity_slopes/backend_statistics.py
@@ -1,4 +1,4 @@
-"""Scenario `scores`: the memory of one backend's outlier scores, with a request class for each route."""
+"""Scenario `scores`: the memory of one backend's outlier scores if each route has its own request class."""
 
 from __future__ import annotations
 
@@ -48,13 +48,13 @@
         now = START_MS + number
         for action in policy.handle(now, arrival_event(now, request_class=f"route-{number}")):
             if isinstance(action, StartAttempt):
-                ended = success_event(action.backend_id, duration_ms=SERVICE_TIME_MS)
+                ended = success_event(action.backend_id, latency_ms=SERVICE_TIME_MS)
                 policy.handle(now + 0.5, ended)
     return policy
 
 
 def configured_policy(document: dict[str, Any]) -> GatewayPolicy:
-    """Return a policy with the settings of `document`."""
+    """Return a policy with the settings document `document`."""
     return GatewayPolicy(parse_settings(document), 1)
 
 
--- a/scale/fakes/discovery.py
+++ b/scale/fakes/discovery.py
@@ -10,7 +10,7 @@
 
 from scale.figures import Announcement
 
-from .endpoint_list import Change, SyntheticEndpointList
+from .endpoint_list import SyntheticEndpointList, WatchEvent
 from .service import FakeService, ServiceConnection
 
 LIST_PATH = b"/catalog/members"
@@ -22,8 +22,8 @@
 HEARTBEAT = b"1\r\n\n\r\n"
 """An empty line in HTTP's chunked transfer coding."""
 
-CHANGE_HISTORY_LENGTH = 20_000
-"""Watch events that are kept for new watches; a watch that has missed more gets a snapshot."""
+EVENT_HISTORY_LENGTH = 20_000
+"""Number of watch events kept for new watches; a watch that has missed more gets a snapshot."""
 
 MAX_HEAD_BYTES = 64 * 1024
 """Maximum size of the head of an HTTP request, in bytes."""
@@ -60,8 +60,8 @@
         super().__init__()
         self.endpoints = endpoints
         self.watches: dict[DiscoveryConnection, None] = {}  # in the order of opening
-        self._announced: deque[Change] = deque(maxlen=CHANGE_HISTORY_LENGTH)
-        self._prepared: dict[int, list[Change]] = {}
+        self._announced: deque[WatchEvent] = deque(maxlen=EVENT_HISTORY_LENGTH)
+        self._prepared: dict[int, list[WatchEvent]] = {}
         self._batch_ids = itertools.count()
         self._heartbeat_task = asyncio.get_running_loop().create_task(self._send_heartbeats())
 
@@ -96,7 +96,7 @@
         announced_version = self._announced[-1].version if self._announced else 1
         if version == announced_version:
             return []
-        lines = [change.line for change in self._announced if change.version > version]
+        lines = [event.line for event in self._announced if event.version > version]
         if lines and self._announced[0].version <= version + 1 <= announced_version:
             return lines
         return [self.endpoints.snapshot()]
@@ -108,26 +108,26 @@
                 watch.write(HEARTBEAT)
 
     def prepare(self, counts: list[int], *, with_marker: bool = False) -> int:
-        """Create a batch with a watch event of `count` changes for each count; return its id for `announce`.
+        """Create a batch of watch events with these numbers of changes; return its id for `announce`.
 
-        With a marker, the batch ends with an event that changes a backend that no other event changes.
+        `with_marker` adds a last event, which changes the marker: a backend that no other event changes.
         """
         batch_id = next(self._batch_ids)
-        changes = [self.endpoints.change(count) for count in counts]
+        events = [self.endpoints.change(count) for count in counts]
         if with_marker:
-            changes.append(self.endpoints.change_marker())
-        self._prepared[batch_id] = changes
+            events.append(self.endpoints.change_marker())
+        self._prepared[batch_id] = events
         return batch_id
 
     def announce(self, batch_id: int) -> Announcement:
         """Send a prepared batch to all watches, in one write to each."""
-        changes = self._prepared.pop(batch_id)
-        chunks = b"".join(encode_chunk(change.line) for change in changes)
-        self._announced.extend(changes)
+        events = self._prepared.pop(batch_id)
+        chunks = b"".join(encode_chunk(event.line) for event in events)
+        self._announced.extend(events)
         announced_at = time.monotonic()
         for watch in list(self.watches):
             watch.write(chunks)
-        return {"at": announced_at, "hosts": [host for change in changes for host in change.hosts]}
+        return {"at": announced_at, "hosts": [host for event in events for host in event.hosts]}
 
     async def announce_evenly(self, rate: float, seconds: float) -> list[Announcement]:
         """Announce `rate` changes a second for `seconds` seconds, each in its own watch event."""
@@ -155,7 +155,7 @@
 
 
 def encode_chunk(line: bytes) -> bytes:
-    """Return a line, with a newline, as a chunk of HTTP's chunked transfer coding."""
+    """Return a line and a newline as one chunk of HTTP's chunked transfer coding."""
     return b"%x\r\n%b\n\r\n" % (len(line) + 1, line)
 
 
