--- a/gateway/policy/actions.py
+++ b/gateway/policy/actions.py
@@ -18,7 +18,7 @@
     """Start an attempt; the attempts of a request are numbered 0, 1, 2, ... in the order of their starts.
 
     If no connection is established before `start_before`, a time on the host's clock, the request is not sent
-    and the attempt ends with `Outcome.NOT_STARTED`.
+    and the attempt ends with an outcome of `NOT_PROCESSED`.
     """
 
     request_id: str
