--- a/gateway/network/backends/attempt.py
+++ b/gateway/network/backends/attempt.py
@@ -45,14 +45,14 @@
     _timeout_timer: Timer | None = field(default=None, init=False)
 
     def set_timeout_timer(self, timer: Timer) -> None:
-        """Set the timer of the attempt's time-out, which is cancelled once the attempt has ended."""
+        """Set the timer of the attempt's timeout, which is cancelled once the attempt has ended."""
         if self.is_ended:
             timer.cancel()
             return
         self._timeout_timer = timer
 
     def attach_connection(self, connection: AttemptConnection) -> None:
-        """Record the connection that carries the attempt and that ends it when the connection breaks."""
+        """Record the connection that carries the attempt, and that ends the attempt if it breaks."""
         self.connection = connection
 
     def end(self, outcome: Outcome, value: bytes = b"") -> None:
--- a/gateway/network/backends/connection.py
+++ b/gateway/network/backends/connection.py
@@ -1,8 +1,8 @@
 """Connections to backends, from connect to close.
 
-The sockets are used directly rather than through transports, for two reasons: no first byte of a request may
-be written after the end of a drain grace, and the connection of an abandoned attempt must be closed before
-the next attempt is sent.
+The sockets are used directly rather than through transports, for two reasons: the first byte of a request
+must not be written after the end of a drain grace, and the connection of an abandoned attempt must be closed
+before the next attempt is sent.
 """
 
 from __future__ import annotations
@@ -28,8 +28,8 @@
 class BackendConnection:
     """A connection to a backend, which carries at most one attempt at a time.
 
-    An attempt is abandoned by closing its connection, as replies come in the order of the requests. The
-    close would also end a second attempt on the connection.
+    Replies arrive in the order of the requests, so an attempt can be abandoned only by closing its
+    connection. That would also end a second attempt on the connection.
     """
 
     __slots__ = (
@@ -87,7 +87,7 @@
     def _on_connect_timeout(self) -> None:
         """End the attempt, unless the connection is established.
 
-        It may have been established in time while this process was delayed.
+        The connection may have been established in time while this process was delayed.
         """
         try:
             self.socket.getpeername()
@@ -186,7 +186,7 @@
         if is_request_sent and known_outcome is not None and reply.ends_cleanly:
             self._release()
         else:
-            # If the connection were reused, bytes that follow would be taken for the next request's reply.
+            # If the connection were reused, bytes after this reply would be taken for the next reply.
             self.attempt = None
             self._record_reply_failure(
                 "expected a single valid reply, got an unknown error, an early reply or invalid bytes"
--- a/gateway/network/backends/endpoint.py
+++ b/gateway/network/backends/endpoint.py
@@ -11,7 +11,7 @@
 from .attempt import BackendAttempt
 
 REUSE_DELAY_MS = 5.0
-"""Least milliseconds between a reply and the reuse of its connection: unsolicited bytes arrive by then."""
+"""Minimum milliseconds between a reply and the reuse of its connection: unsolicited bytes arrive by then."""
 
 
 class PooledConnection(Protocol):
@@ -83,7 +83,7 @@
     def take_idle(self, now: float, max_idle_ms: float) -> PooledConnection | None:
         """Remove and return the most recently used connection that may be reused; None if there is none.
 
-        Connections found by the search that are dead, or were idle for `max_idle_ms`, are closed.
+        The search closes the connections it finds dead or idle for `max_idle_ms` or longer.
         """
         for connection in self.idle_connections[::-1]:
             idle_ms = now - connection.idle_since
--- a/gateway/network/backends/failure_log.py
+++ b/gateway/network/backends/failure_log.py
@@ -1,4 +1,4 @@
-"""Log of an operation's failures at many backends, with one line for many failures."""
+"""Log of an operation's failures at many backends, which reports many failures in one line."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 log = logging.getLogger(__name__)
 
 MAX_LOGGED_FAILURES = 5
-"""Most pairs of peer and reason that one log line names, beginning with the most frequent."""
+"""Maximum number of pairs of peer and reason that one log line names; the most frequent are named."""
 
 
 class PeerFailure(NamedTuple):
--- a/gateway/network/backends/idle_loss.py
+++ b/gateway/network/backends/idle_loss.py
@@ -15,7 +15,7 @@
 """Successful requests assumed for each range of idle time, so that a first loss does not set the limit."""
 
 MAX_EXCESS_LOSS_RATE = 0.15
-"""Largest tolerated loss rate, as a fraction of requests in excess of the loss rate on new connections."""
+"""Maximum tolerated excess of a loss rate over that of new connections, as a fraction of requests."""
 
 DECAY_FACTOR = 0.9
 """Factor by which each count decays once a second; as losses fade, longer idle times are allowed again."""
@@ -35,7 +35,7 @@
         self._attempts = [0.0] * (len(IDLE_TIME_BOUNDS_MS) + 1)
         self._losses = [0.0] * (len(IDLE_TIME_BOUNDS_MS) + 1)
         self.max_idle_ms = IDLE_TIME_BOUNDS_MS[-1]
-        """Idle time in milliseconds from which on a connection is not reused; infinite without a limit."""
+        """Milliseconds of idle time from which a connection is not reused; infinite if there is no limit."""
 
     def record(self, idle_ms: float | None, *, is_lost: bool) -> None:
         """Count a request on a connection that had been idle for `idle_ms`, or was new if that is None.
--- a/gateway/network/backends/pool.py
+++ b/gateway/network/backends/pool.py
@@ -22,7 +22,7 @@
 """Milliseconds between two sweeps, each of which decays the counts of lost requests once."""
 
 DRAIN_GRACE_MARGIN_MS = 50.0
-"""Milliseconds before the end of a drain grace from which on no request is sent, so that none is late."""
+"""Milliseconds before the end of a drain grace at which sending stops, so that no request arrives late."""
 
 
 class BackendPool:
@@ -50,8 +50,8 @@
             connect_timeout_ms: how long a connection may take to be established.
             keepalive_ms: how long backends keep idle connections open.
             drain_grace_ms: how long a backend accepts new work after it was reported as draining.
-            max_connections: most connections to all backends together.
-            max_buffered_bytes: most bytes of incomplete replies, for all connections together.
+            max_connections: maximum number of connections to all backends together.
+            max_buffered_bytes: maximum bytes of incomplete replies, for all connections together.
         """
         self.timers = timers
         self.configured_max_idle_ms = keepalive_ms * MAX_IDLE_SHARE
@@ -114,7 +114,7 @@
     def abandon(self, attempt: BackendAttempt, outcome: Outcome) -> None:
         """Close the connection of an attempt and end the attempt with `outcome`.
 
-        A time-out before the request was sent completely becomes a connect error, as the request never ran.
+        A timeout before the request was sent completely becomes a connect error, as the request never ran.
         """
         connection = attempt.connection
         if connection is None:
--- a/gateway/network/backends/reply_reader.py
+++ b/gateway/network/backends/reply_reader.py
@@ -1,4 +1,4 @@
-"""Reads replies of backends and tells which outcome a reply stands for."""
+"""Reads replies of backends, and determines the outcome that a reply means for its attempt."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 
 class ReplyMemoryError(GatewayError):
-    """The incomplete replies of all connections together exceed the memory for them."""
+    """The incomplete replies of all connections together exceed their memory limit."""
 
 
 class ReplyReader:
-    """Buffers an incomplete reply, within the memory for the incomplete replies of all connections."""
+    """Buffers an incomplete reply, within the memory limit on the incomplete replies of all connections."""
 
     __slots__ = ("_memory", "received")
 
@@ -36,13 +36,11 @@
 
         Raises:
             ProtocolError: the data cannot become a reply.
-            ReplyMemoryError: the incomplete replies of all connections exceed their memory.
+            ReplyMemoryError: the incomplete replies of all connections exceed their memory limit.
         """
         self.received += data
         if not self._memory.reserve(len(data)):
-            raise ReplyMemoryError(
-                "expected a complete reply, got more incomplete replies than fit into their memory"
-            )
+            raise ReplyMemoryError("the incomplete replies of all connections exceed their memory limit")
         return parse_reply(self.received)
 
     def discard(self) -> None:
@@ -52,7 +50,7 @@
 
 
 def known_outcome_of(reply: Reply) -> Outcome | None:
-    """Return the outcome that a reply stands for; None for an error that the protocol does not define."""
+    """Return the outcome that a reply means; None for an error that the protocol does not define."""
     if reply.value is not None:
         return Outcome.OK
     known_error = KNOWN_ERROR.fullmatch(reply.error)
--- a/gateway/network/backends/resources.py
+++ b/gateway/network/backends/resources.py
@@ -1,4 +1,4 @@
-"""Event loop, buffers, bounds and statistics that the connections of one pool share."""
+"""Event loop, buffers, limits and statistics that the connections of one pool share."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from .idle_loss import IdleLossEstimator
 
 RECEIVE_BUFFER_BYTES = 64 * 1024
-"""Most bytes that are read from a connection at once."""
+"""Maximum number of bytes read from a connection at once."""
 
 
 class ReplyMemory:
@@ -22,7 +22,7 @@
         """Bytes of incomplete replies, of all connections together."""
 
     def reserve(self, count: int) -> bool:
-        """Reserve `count` bytes, which have to be released in any case; return whether the limit is kept."""
+        """Reserve `count` bytes, to be released even if the limit is exceeded; return whether it is kept."""
         self.reserved_bytes += count
         return self.reserved_bytes <= self._limit_bytes
 
--- a/gateway/network/clients/command_reader.py
+++ b/gateway/network/clients/command_reader.py
@@ -22,10 +22,10 @@
 A client's disconnect can be detected only after reading all the input before it."""
 
 COMMAND_TIMEOUT_MS = 2_000.0
-"""Milliseconds from connecting, or from the first byte of a command, until the command must be complete."""
+"""Milliseconds until a command must be complete, from its first byte or, for the first, from the connect."""
 
 DISCONNECT_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
-"""Events of `poll` that mean that the client has closed or reset the connection, or ended its sending."""
+"""Events of `poll` for a client that has closed or reset the connection, or shut down its sending side."""
 
 
 class ReceiveBuffer:
@@ -41,7 +41,7 @@
 class CommandReader:
     """Receives the bytes of one client and splits them into commands.
 
-    Times are in milliseconds of `now_ms`.
+    Times are in milliseconds, as returned by `now_ms`.
     """
 
     __slots__ = (
@@ -91,8 +91,8 @@
         """Read once from the socket.
 
         Returns:
-            The number of bytes received; 0 if the client has closed or reset the connection or has ended its
-            sending; None if no input is available. `io.RawIOBase.readinto` returns the same.
+            The number of bytes received; 0 if the client has closed or reset the connection or has shut
+            down its sending side; None if no input is available. `io.RawIOBase.readinto` returns the same.
         """
         try:
             count = self._socket.recv_into(self._buffer.data)
@@ -138,7 +138,7 @@
         self._parser = CommandParser()
 
     def report_read_ahead(self) -> None:
-        """Add the change in the input buffered here to the total over all connections."""
+        """Report the change in the bytes buffered here to the total of all connections."""
         read_ahead_bytes = self._parser.buffered_bytes
         self._memory.change_read_ahead(read_ahead_bytes - self._reported_read_ahead_bytes)
         self._reported_read_ahead_bytes = read_ahead_bytes
@@ -156,7 +156,7 @@
 
     def is_disconnect_pending(self) -> bool:
         """Return whether the operating system reports a disconnect, even one behind unread input."""
-        with contextlib.suppress(OSError):  # the system does not know the socket; the next send fails
+        with contextlib.suppress(OSError):  # the system rejects the socket; the next send fails
             poll = select.poll()
             poll.register(self._socket, select.POLLRDHUP)
             return any(event & DISCONNECT_EVENTS for _, event in poll.poll(0))
--- a/gateway/network/clients/connection.py
+++ b/gateway/network/clients/connection.py
@@ -24,7 +24,9 @@
 """Milliseconds without use after which a connection is closed."""
 
 FIRST_REQUEST_GRACE_MS = 100.0
-"""Milliseconds that a new connection has for its first request, even if others wait to be accepted."""
+"""Milliseconds that a new connection has for its first request, even if others wait to be accepted.
+
+During a shutdown, this is the idle timeout of all connections."""
 
 DISCONNECT_CHECK_INTERVAL_MS = 20.0
 """Milliseconds for which a client that was found to be connected is not checked for a disconnect again."""
@@ -44,7 +46,7 @@
     parser: RequestParser
     receive_buffer: ReceiveBuffer
     memory: ClientMemory
-    is_draining: bool  # each connection closes as soon as no reply is pending on it
+    is_draining: bool  # whether each connection closes as soon as no reply is pending on it
 
     def count_rejection(self, reason: str, /) -> None:
         """Count a rejected command or a closed connection under its reason, for the log."""
@@ -63,7 +65,7 @@
 
 
 class ClientConnection:
-    """Processes commands: replies to those of connection set-up and passes requests to the handler."""
+    """Processes a client's commands: replies to set-up commands, and passes requests to the handler."""
 
     def __init__(self, owner: ConnectionOwner, client_socket: socket.socket) -> None:
         self.owner = owner
@@ -92,7 +94,7 @@
         """Read once from the socket, and return whether there was any data."""
         count = self.reader.receive()
         if count == 0:
-            self.close()  # a client that only ends its sending counts as disconnected, too
+            self.close()  # a client that only shuts down its sending side counts as disconnected, too
         return bool(count)
 
     @property
@@ -144,7 +146,7 @@
         self._poll_for_disconnect()
 
     def _poll_for_disconnect(self) -> None:
-        """Close if the client has disconnected behind input that the limits keep from being read."""
+        """Close if the client has disconnected after input that the memory limits leave unread."""
         if not self.is_closed and not self.may_read and self.reader.is_disconnect_pending():
             self.close()
 
@@ -161,7 +163,7 @@
         try:
             self._process_until_blocked()
             if self.owner.is_draining and self.is_between_commands and self._receive():
-                self._process_until_blocked()  # the input came before the connection could be closed
+                self._process_until_blocked()  # this input arrived before the connection could be closed
         finally:
             self._is_processing = False
         if self.reader.is_discarding_input and self.is_idle:
@@ -261,7 +263,7 @@
         return self.is_idle and not self.reader.buffered_bytes
 
     def close_if_unused(self) -> bool:
-        """Read the input that has arrived, and close unless a command has begun or a reply is open.
+        """Read the input that has arrived, and close unless a command has begun or a reply is not sent yet.
 
         Returns:
             Whether the connection is closed.
@@ -273,7 +275,7 @@
         return self.is_closed
 
     def enforce_timeouts(self, now: float) -> None:
-        """End the connection if the client has exceeded a time-out; `now` is in milliseconds of `now_ms`."""
+        """End the connection if the client has exceeded a timeout; `now` is the result of `now_ms`."""
         idle_timeout_ms = FIRST_REQUEST_GRACE_MS if self.owner.is_draining else IDLE_TIMEOUT_MS
         if self.replies.is_reader_stalled(now):
             self.owner.count_rejection("replies left unread")
--- a/gateway/network/clients/listener.py
+++ b/gateway/network/clients/listener.py
@@ -1,7 +1,7 @@
 """The RESP server that clients connect to.
 
-Connections that arrive by the hundreds are accepted as capacity becomes available. Their number is bounded,
-and so is the memory that all of them use together.
+Hundreds of connections may arrive at once; they are accepted as capacity becomes available. Their number is
+bounded, and so is the memory that all of them use together.
 """
 
 from __future__ import annotations
@@ -20,23 +20,23 @@
 from .request_parser import RequestParser
 
 LISTEN_BACKLOG = 1024
-"""Maximum number of connections that wait in the kernel to be accepted; they use no descriptor there."""
+"""Maximum number of connections that wait in the kernel to be accepted; they use no file descriptor there."""
 
 MAX_ACCEPTS_PER_ITERATION = 32
 """Maximum number of connections accepted in one iteration of the event loop; the next iteration
 also reads from the connections accepted so far."""
 
 ACCEPT_RETRY_MS = 20.0
-"""Milliseconds until accepting is retried after capacity or descriptors ran out."""
+"""Milliseconds until accepting is retried after the connection limit was reached or descriptors ran out."""
 
 SHUTDOWN_CHECK_INTERVAL_MS = 20.0
-"""Milliseconds between two checks of the time-outs of all connections during a shutdown."""
+"""Milliseconds between two checks of the timeouts of all connections during a shutdown."""
 
 READ_AHEAD_MEMORY_SHARE = 0.25
-"""Limit on the input read ahead by all connections together, as a fraction of the memory for clients."""
+"""Limit on the input read ahead by all connections together, as a fraction of `ClientLimits.memory_bytes`."""
 
 SWEEP_INTERVAL_MS = 250.0
-"""Milliseconds between two checks of the time-outs of all connections."""
+"""Milliseconds between two checks of the timeouts of all connections."""
 
 EVICTABLE_AFTER_MS = 2_000.0
 """Milliseconds without use after which a connection may be closed to make room for a new one."""
@@ -48,7 +48,8 @@
 
     max_connections: int
     memory_bytes: int
-    """Limit on the bytes of unsent replies; input read ahead may use a fraction of it in addition."""
+    """Limit on the bytes of unsent replies; input read ahead may use `READ_AHEAD_MEMORY_SHARE` of it
+    in addition."""
 
 
 class ClientListener:
@@ -167,7 +168,8 @@
         )
         if oldest is not None and now - oldest.last_used_at > FIRST_REQUEST_GRACE_MS:
             if not oldest.is_between_commands:
-                oldest.close()  # clients that begin a command and stop would otherwise hold all descriptors
+                # Otherwise, clients that begin a command and stop could use up all descriptors.
+                oldest.close()
             if oldest.close_if_unused():
                 return True
         unused = next(
@@ -217,7 +219,7 @@
             slowest.close()
 
     def sweep(self) -> None:
-        """Enforce the time-outs of all connections and log rejections, now and every `SWEEP_INTERVAL_MS`."""
+        """Enforce the timeouts of all connections and log rejections, now and every `SWEEP_INTERVAL_MS`."""
         now = now_ms()
         self._enforce_timeouts(now)
         self.rejections.write_if_due(self.address, now)
@@ -249,7 +251,7 @@
             self._enforce_timeouts_until_closed()
 
     def _enforce_timeouts_until_closed(self) -> None:
-        """Enforce the time-outs more often than `sweep` does, until all connections are closed."""
+        """Enforce the timeouts more often than `sweep` does, until all connections are closed."""
         for connection in list(self.connections):
             connection.enforce_timeouts(now_ms())
         if self.connections:
--- a/gateway/network/clients/pending_reply.py
+++ b/gateway/network/clients/pending_reply.py
@@ -39,7 +39,7 @@
         return pending_reply
 
     def set_open_request(self, request_id: str) -> None:
-        """Make this the reply to a request, which is about to be passed to the handler."""
+        """Mark this as the reply to a request that is about to be passed to the handler."""
         self.open_request_id = request_id
 
     def complete(self, reply: bytes) -> None:
@@ -55,7 +55,7 @@
         """Ignore any later reply, as the client has disconnected.
 
         Returns:
-            Id of the request that is still open, if there is one; the handler must be notified of it.
+            Id of the request that waits for this reply, or None; the caller must notify the handler of it.
         """
         self.is_completed = True
         return self.open_request_id
--- a/gateway/network/clients/rejection_log.py
+++ b/gateway/network/clients/rejection_log.py
@@ -17,18 +17,18 @@
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
         """Number of rejections by reason, since the last log line."""
-        self._logged_at = 0.0  # in milliseconds of `now_ms`
+        self._logged_at = 0.0  # in milliseconds, as returned by `now_ms`
 
     def count(self, reason: str) -> None:
         """Count a rejected command or a closed connection under its reason."""
         self.counts[reason] += 1
 
     def write_if_due(self, listen_address: str, now: float) -> None:
-        """Log the counts, unless the last log line is too recent; `now` is in milliseconds of `now_ms`."""
+        """Log the counts, unless the last log line is too recent; `now` is the result of `now_ms`."""
         if not self.counts or now - self._logged_at < REJECTION_LOG_INTERVAL_MS:
             return
         log.warning(
-            "clients of %s rejected, each with an error reply or its connection closed, by reason: %s",
+            "listener %s rejected commands with an error reply or closed connections, by reason: %s",
             listen_address,
             dict(self.counts),
         )
--- a/gateway/network/clients/reply_queue.py
+++ b/gateway/network/clients/reply_queue.py
@@ -20,11 +20,14 @@
 """Bytes of unsent replies above which a connection reads no input and processes no command."""
 
 SLOW_READER_TIMEOUT_MS = 5_000.0
-"""Milliseconds after which a client that reads no byte of its unsent replies is closed."""
+"""Milliseconds after which a client that reads none of the replies waiting to be sent is closed."""
 
 
 class ReplyQueue:
-    """The replies of one client that are pending, and those that are complete but not sent yet."""
+    """The replies of one client that are pending, and those that are complete but not sent yet.
+
+    Times are in milliseconds, as returned by `now_ms`.
+    """
 
     __slots__ = ("_memory", "_pending_command_bytes", "_socket", "last_progress_at", "pending", "unsent")
 
@@ -35,7 +38,7 @@
         self._pending_command_bytes = 0  # sum over the commands in `pending`
         self.unsent = bytearray()
         self.last_progress_at = connected_at
-        """When the client last read some of its replies or had none to read, in milliseconds of `now_ms`."""
+        """When the client last read some of its replies or had none to read."""
 
     def is_empty(self) -> bool:
         """Return whether no reply is pending or unsent."""
@@ -59,11 +62,7 @@
         self.pending.append(pending_reply)
 
     def collect_completed(self) -> bool:
-        """Move the replies before the first one that is still pending to the bytes to be sent.
-
-        Returns:
-            Whether there were any.
-        """
+        """Move the replies before the first incomplete one to `unsent`; return whether there were any."""
         completed: list[bytes] = []
         while self.pending and (reply := self.pending[0].reply) is not None:
             self._pending_command_bytes -= self.pending.popleft().command_bytes
@@ -93,7 +92,7 @@
         self._memory.release_unsent(sent)
 
     def is_reader_stalled(self, now: float) -> bool:
-        """Return whether replies have been left unread too long; `now` is in milliseconds of `now_ms`."""
+        """Return whether replies have been left unread too long."""
         return bool(self.unsent) and now - self.last_progress_at > SLOW_READER_TIMEOUT_MS
 
     def close(self) -> deque[PendingReply]:
--- a/gateway/network/clients/request_attributes.py
+++ b/gateway/network/clients/request_attributes.py
@@ -1,4 +1,4 @@
-"""Names of the attributes of a request on the wire, as constants named by the program's own terms.
+"""Names that a request's attributes have on the wire; the constants carry the program's terms for them.
 
 A request carries its attributes as one argument, such as `c=view,t=free,d=480,units=1,spread=1,first=0`.
 """
@@ -18,7 +18,7 @@
 """Attribute: name of the customer's plan."""
 
 REMAINING_MS = b"d"
-"""Attribute: remaining time until the deadline, in milliseconds; only this one changes in forwarding."""
+"""Attribute: remaining time until the deadline, in milliseconds; the only one that changes in forwarding."""
 
 IDEMPOTENCY_KEY = b"k"
 """Attribute: idempotency key, which is required for the classes that are idempotent only with a key."""
--- a/gateway/network/clients/request_parser.py
+++ b/gateway/network/clients/request_parser.py
@@ -29,7 +29,7 @@
 )
 
 REQUEST_COMMANDS = {b"API.READ": True, b"API.WRITE": False}
-"""The request commands: True for the command of idempotent request classes, False for that of all others."""
+"""The request commands, and whether each is for idempotent request classes or for all others."""
 
 MIN_ARGUMENTS = 4
 """Minimum number of arguments of a request command: its name, customer, request id and attributes."""
@@ -122,8 +122,8 @@
         """Check the arguments of one of `REQUEST_COMMANDS`, including its name, and return the request.
 
         No later stage checks the arguments again. An unknown plan would have no quota, a negative cost would
-        add to the customer's bucket and lower the counter's total for all gateways, and a customer is stored
-        with the plan of its first request.
+        add to the customer's bucket and lower the counter's total for all gateways, and the plan of a
+        customer's first request is stored for its later ones.
 
         Raises:
             InvalidRequestError: the arguments are malformed, out of range or not of a known class and plan.
@@ -145,7 +145,8 @@
         self._check_gateway_set(gateway_set_size, gateway_set_start)
         remaining_start = _find_remaining_time(attribute_list)
         remaining_end = remaining_start + len(attributes[REMAINING_MS])
-        return ClientRequest(  # positional, as `parse` as a whole took 10% longer with keywords
+        # Positional arguments: with keywords, `parse` as a whole took 10% longer.
+        return ClientRequest(
             encode_bulk_string(command) + encode_bulk_string(customer) + encode_bulk_string(request_id),
             attribute_list[:remaining_start],
             attribute_list[remaining_end:],
@@ -225,7 +226,7 @@
 
 
 def _find_remaining_time(attribute_list: bytes) -> int:
-    """Return the index of the value of the remaining time in a list that has this attribute."""
+    """Return the index of the remaining time's value in an attribute list, which must contain it."""
     if attribute_list.startswith(REMAINING_MS_AT_START):
         return len(REMAINING_MS_AT_START)
     return attribute_list.index(REMAINING_MS_AFTER_ANOTHER) + len(REMAINING_MS_AFTER_ANOTHER)
--- a/gateway/network/codecs/json_stream.py
+++ b/gateway/network/codecs/json_stream.py
@@ -1,8 +1,8 @@
 """Incremental JSON parsing: splits a byte stream into objects, and parses a long array in batches.
 
 Each object ends at the end of a line, and may be indented over several lines. An object of several megabytes
-is joined without another copy for each piece that arrives, and its array is parsed in batches, so that the
-event loop can run between two batches.
+is not copied again for each piece that arrives, and its array is parsed in batches, so that the event loop
+can run between two batches.
 """
 
 from __future__ import annotations
@@ -126,7 +126,7 @@
 
 
 def _iterate_items(text: str, start: int, batch_size: int) -> Generator[list[Any], None, int]:
-    """Yield the items of an array that begin at `start`, and return the position after the array."""
+    """Yield batches of an array's items, which begin at `start`, and return the position after the array."""
     items: list[Any] = []
     position = _skip_whitespace(text, start)
     while text[position] != "]":
--- a/gateway/network/codecs/resp.py
+++ b/gateway/network/codecs/resp.py
@@ -2,7 +2,7 @@
 
 `resp_commands` parses the commands of clients, `resp_replies` the replies of backends. Peers are not trusted:
 only the types that the protocol uses are accepted, a length out of range is rejected as soon as its header is
-parsed, and the bytes buffered of an incomplete message are bounded. A general RESP parser accepts far more
+parsed, and the buffered bytes of an incomplete message are bounded. A general RESP parser accepts far more
 (maps, sets, nested and unbounded arrays, values of gigabytes) and rejects a complete reply for a malformed
 part that is not used.
 """
--- a/gateway/network/codecs/resp_commands.py
+++ b/gateway/network/codecs/resp_commands.py
@@ -1,7 +1,7 @@
 """Incremental parser of the commands that clients send: RESP2 arrays of bulk strings.
 
-Clients are not trusted: a length out of range is rejected as soon as its header is parsed, and the bytes
-buffered of an incomplete command are bounded.
+Clients are not trusted: a length out of range is rejected as soon as its header is parsed, and the
+buffered bytes of an incomplete command are bounded.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 """
 
 MAX_ARGUMENT_BYTES = 64 * 1024
-"""Maximum size of an argument, which is that of the largest value that the protocol allows."""
+"""Maximum size of an argument: that of the largest value that the protocol allows."""
 
 MAX_COMMAND_BYTES = MAX_ARGUMENT_BYTES + 4 * 1024
 """Maximum size of all arguments of a command together: a value of maximum size and the other arguments."""
@@ -35,8 +35,8 @@
 """Patterns of input that may still become a header, by the pattern of that header."""
 
 MAX_HEADER_BYTES = 10
-"""Bytes that are checked for an incomplete header; they exceed the longest header, so that a line that never
-ends is rejected by its first bytes."""
+"""Number of bytes that are checked of an incomplete header: more than the longest header has, so that a line
+that never ends is rejected early."""
 
 UNKNOWN_LENGTH = -1
 """Used as the length of an argument whose header is not parsed yet."""
@@ -56,10 +56,10 @@
 
     def __init__(self) -> None:
         self._buffer = bytearray()
-        self._position = 0  # in `_buffer`; all bytes before it have been parsed
-        self._arguments: list[bytes] = []  # of the incomplete command
-        self._arguments_left = 0  # to parse of the incomplete command; 0 between commands
-        self._argument_length = UNKNOWN_LENGTH  # of the next argument, once its header is parsed
+        self._position = 0  # index in `_buffer`; all bytes before it have been parsed
+        self._arguments: list[bytes] = []  # arguments parsed so far of the incomplete command
+        self._arguments_left = 0  # arguments still to parse of the incomplete command; 0 between commands
+        self._argument_length = UNKNOWN_LENGTH  # length of the next argument, once its header is parsed
         self._command_bytes = 0  # sum of the lengths in the argument headers parsed so far
 
     def feed(self, data: bytes | memoryview) -> None:
@@ -140,7 +140,7 @@
         arguments = self._arguments
         self._arguments = []
         self._command_bytes = 0
-        # `feed` compacts, too, but no further input may arrive for a long time.
+        # `feed` compacts, too, but the next input may arrive much later.
         if self._position > COMPACTION_THRESHOLD_BYTES:
             self._compact()
         return arguments
--- a/gateway/network/codecs/resp_replies.py
+++ b/gateway/network/codecs/resp_replies.py
@@ -25,10 +25,10 @@
 """Number of fields after the value: usage figures and load report."""
 
 MAX_HEADER_BYTES = 20
-"""Bytes that are enough for the longest header of an array and its value, including line ends."""
+"""Upper bound on the bytes of the headers of an array and its value, including line ends."""
 
 MAX_FIELD_HEADER_BYTES = 22
-"""Bytes that are enough for the longest field header after the value: a negative integer of 18 digits."""
+"""Size of the longest field header after the value: a negative integer of 18 digits with its line end."""
 
 MAX_QUOTED_BYTES = 12
 """Maximum number of bytes of a malformed reply that the error message quotes."""
--- a/gateway/network/dispatcher/dispatcher.py
+++ b/gateway/network/dispatcher/dispatcher.py
@@ -49,8 +49,8 @@
 class Dispatcher:
     """Owns the policy, and is its only caller.
 
-    Events are handled one after another. If an action completes at once and so causes an event, that event is
-    handled after the other actions that the policy returned with the action.
+    Events are handled one after another. If an action causes an event immediately, that event is handled
+    after the other actions that the policy returned with the action.
     """
 
     def __init__(  # noqa: PLR0913 - it connects all parts of the program
@@ -68,7 +68,7 @@
         Args:
             settings: the settings of the policy.
             seed: the seed of the policy's random choices.
-            timers: the queue for deadlines, attempt time-outs and the policy's timers.
+            timers: the queue for deadlines, attempt timeouts and the policy's timers.
             backends: the pool that sends attempts.
             counter: the client of the counter; without one, each counter call fails as a connect error.
             max_open_requests: bound on the requests without a reply; more are rejected.
@@ -131,7 +131,7 @@
         self._endpoint_updates.apply(kind, listed_endpoints, is_first=is_first, is_last=is_last)
 
     def on_request(self, client_request: ClientRequest, pending_reply: PendingReply) -> None:
-        """Deliver a request, or reject it if its id is in use, too many are open or the process stops."""
+        """Deliver a request; reject it if its id is in use, too many are open or the process is stopping."""
         request_id = client_request.id
         if request_id in self.requests.open or self.attempts.has_in_flight(request_id):
             pending_reply.complete(ID_IN_USE_REPLY)
@@ -178,7 +178,7 @@
         if request is None:
             return
         self.deliver(ClientDisconnected(request_id))
-        # Once its connection closes, a backend may drop a request that it has not started.
+        # This closes the attempts' connections, so backends may drop a request that they have not started.
         self.attempts.abandon_all(request, Outcome.CANCELLED)
         request.cancel_deadline_timer()
 
--- a/gateway/network/dispatcher/endpoint_updates.py
+++ b/gateway/network/dispatcher/endpoint_updates.py
@@ -10,7 +10,7 @@
 
 
 class EndpointUpdateForwarder:
-    """Applies deltas and snapshots, which may come in several parts, and forwards them to the policy."""
+    """Applies deltas and snapshots, and forwards them to the policy; a snapshot may have several parts."""
 
     def __init__(self, backends: BackendPool, deliver: Callable[[Event], None]) -> None:
         """`deliver` hands an event to the policy."""
--- a/gateway/network/dispatcher/requests.py
+++ b/gateway/network/dispatcher/requests.py
@@ -36,7 +36,7 @@
         self._deadline_timer: Timer | None = None
 
     def take_attempt_number(self) -> int:
-        """Return the number of the next attempt; the policy and the dispatcher both count attempts from 0."""
+        """Count an attempt and return its number; the policy and the dispatcher both count from 0."""
         number = self.attempts_started
         self.attempts_started += 1
         return number
@@ -54,19 +54,19 @@
         self._deadline_timer = timers.call_at(self.deadline, partial(on_deadline, self))
 
     def cancel_deadline_timer(self) -> None:
-        """Cancel the deadline timer of a request that has ended, unless attempts in flight need it."""
+        """Cancel the deadline timer of an ended request, unless it must still abandon attempts in flight."""
         if self._deadline_timer is not None and not self.attempts_in_flight:
             self._deadline_timer.cancel()
 
 
 class RequestTable:
-    """The open requests; `reply` is the only way in which one gets its final reply."""
+    """The open requests, by id; only `reply` writes the final reply of one."""
 
     def __init__(self) -> None:
         self.open: dict[str, OpenRequest] = {}
         """Requests without a final reply, by id."""
         self.disconnected: dict[str, OpenRequest] = {}
-        """Requests by id whose clients have disconnected, until the policy has been notified."""
+        """Requests whose clients have disconnected, by id, until the policy has been notified."""
 
     def add(self, request: OpenRequest) -> None:
         """Add a request, whose id must not be in use."""
--- a/tests/network/backends/test_backend_endings.py
+++ b/tests/network/backends/test_backend_endings.py
@@ -53,7 +53,7 @@
         await wait_for_reuse_delay(pool)
 
         connection.shutdown(socket.SHUT_RDWR)
-        second = RecordedAttempt(pool)  # in the same turn of the event loop
+        second = RecordedAttempt(pool)  # in the same iteration of the event loop
 
         assert await second.outcome() is Outcome.CONNECTION_RESET
         assert not pool.connections
@@ -81,7 +81,7 @@
 
 @runs_in_loop
 async def test_connection_established_while_the_process_stalled_is_used() -> None:
-    """The event loop finds the connect time-out and the connection together, and runs timers first."""
+    """The event loop finds the connect timeout and the connection in one iteration, and runs timers first."""
     loop = asyncio.get_running_loop()
     async with open_pool(FakeBackend(), connect_timeout_ms=1) as pool:
         attempts: list[RecordedAttempt] = []
--- a/tests/network/backends/test_backend_pool.py
+++ b/tests/network/backends/test_backend_pool.py
@@ -125,7 +125,7 @@
 
 @runs_in_loop
 async def test_request_is_not_sent_after_a_drain_reported_while_connecting() -> None:
-    """The drain grace must not be over when the first byte is written, not just when the attempt starts."""
+    """The end of the drain grace is checked before the first byte is written, not only at the start."""
     backend = FakeBackend()
     async with open_pool(backend, drain_grace_ms=0) as pool:
         attempt = RecordedAttempt(pool)  # its connection is being established
@@ -150,10 +150,11 @@
 
 @runs_in_loop
 async def test_retry_past_its_latest_start_once_connected_is_not_sent() -> None:
-    """Once the backends have forgotten the first attempt, the request would run a second time."""
+    """A backend that no longer remembers the first attempt would run the request a second time."""
     backend = FakeBackend()
     async with open_pool(backend) as pool:
-        attempt = RecordedAttempt(pool)  # its connection is established in a later turn of the event loop
+        # The connection is established in a later iteration of the event loop.
+        attempt = RecordedAttempt(pool)
 
         attempt.attempt.start_before = now_ms()
 
@@ -242,7 +243,7 @@
 
 @runs_in_loop
 async def test_connection_that_the_backend_has_closed_is_not_written_to() -> None:
-    """Before the close is read, a request written to the connection would end as a reset."""
+    """A request written before the gateway has read the close would end as a connection reset."""
     async with open_idle_connection() as (backend, pool, connection):
         stop_polling(connection)
         backend.close_connections()
--- a/tests/network/backends/test_backend_replies.py
+++ b/tests/network/backends/test_backend_replies.py
@@ -1,4 +1,4 @@
-"""Well-formed and malformed replies of backends, and what they do to the attempt and the connection."""
+"""Well-formed and malformed replies of backends, and their effects on the attempt and the connection."""
 
 from __future__ import annotations
 
--- a/tests/network/clients/test_client_connection.py
+++ b/tests/network/clients/test_client_connection.py
@@ -21,7 +21,7 @@
 
 
 class PausedBackend(FakeBackend):
-    """A backend that serves each request with the request's id, but serves none before it is resumed."""
+    """A backend that replies to each request with the request's id, once `resumed` is set."""
 
     def __init__(self) -> None:
         super().__init__(self.serve_id)
@@ -87,7 +87,7 @@
 
 @runs_in_loop
 async def test_input_after_a_protocol_error_is_not_buffered(client_listeners: list[ClientListener]) -> None:
-    """The connection stays open for earlier replies, and a client that keeps writing could fill memory."""
+    """The connection stays open for earlier replies, so a client that keeps writing could fill the memory."""
     backend = PausedBackend()
     async with running_gateway(GatewayHarness(backend)) as harness:
         (listener,) = client_listeners
@@ -98,7 +98,7 @@
         peer.writer.write(encode_command(*request_command(b"early")) + b"?what\r\n" + b"x" * 10_000_000)
         await wait_until(lambda: backend.received)
         assert connection.reader.is_discarding_input
-        await peer.writer.drain()  # all input is read, as a disconnect can be detected only behind it
+        await peer.writer.drain()  # the gateway reads all input, in order to detect a disconnect
 
         assert connection.reader.buffered_bytes <= command_reader.RECEIVE_BUFFER_BYTES
         backend.resumed.set()
@@ -160,7 +160,7 @@
 
 @runs_in_loop
 async def test_a_slow_reader_does_not_grow_memory(client_listeners: list[ClientListener]) -> None:
-    """The gateway must stop reading from a client that does not read its replies: they would fill memory."""
+    """The gateway must stop reading from a client that does not read its replies, or they fill the memory."""
     async with running_gateway(GatewayHarness(FakeBackend())) as harness:
         (listener,) = client_listeners
         peer = await harness.client()
@@ -212,7 +212,7 @@
 async def test_a_command_incomplete_at_its_deadline_ends_its_connection(
     monkeypatch: pytest.MonkeyPatch, complete: bytes, incomplete: bytes
 ) -> None:
-    """A client that sends only a part of a command, or nothing, would use a descriptor forever."""
+    """A client that sends only a part of a command, or nothing, would use a file descriptor forever."""
     monkeypatch.setattr(command_reader, "COMMAND_TIMEOUT_MS", 500.0)
     monkeypatch.setattr(client_listener, "SWEEP_INTERVAL_MS", 10.0)
 
--- a/tests/network/clients/test_client_endings.py
+++ b/tests/network/clients/test_client_endings.py
@@ -57,7 +57,7 @@
 
 @runs_in_loop
 async def test_disconnect_behind_a_large_backlog_is_detected() -> None:
-    """The disconnect reaches this machine only once the backlog is read; polling cannot detect it before."""
+    """The disconnect reaches the socket only once the backlog is read; polling cannot detect it before."""
     async with running_listener(memory_bytes=16 * 2**20) as (listener, handler, port):
         send_backlog_and_close(port, 4 * MAX_READ_AHEAD_BYTES)
         async with asyncio.timeout(5):
@@ -95,7 +95,7 @@
 async def test_disconnect_behind_unreadable_input_is_detected(
     detected_by: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The disconnect has reached this machine, but the read-ahead limits prevent reading up to it."""
+    """The disconnect has reached the gateway's socket, but the read-ahead limits prevent reading up to it."""
     monkeypatch.setattr(client_listener, "SWEEP_INTERVAL_MS", 20.0 if detected_by == "a sweep" else 1e9)
 
     async with running_listener(memory_bytes=0) as (listener, handler, port):
@@ -130,7 +130,7 @@
 
 @runs_in_loop
 async def test_read_ahead_memory_is_freed_once_processed() -> None:
-    """If the memory were kept, each connection in turn could hold as much as all may read ahead together."""
+    """Otherwise, each connection in turn could keep the memory that all may use together to read ahead."""
     async with running_listener(memory_bytes=16 * 2**20) as (listener, handler, port):
         peer = await connect(port)
         ids = [b"%05d" % number for number in range(10_000)]
--- a/tests/network/clients/test_client_listener.py
+++ b/tests/network/clients/test_client_listener.py
@@ -58,7 +58,7 @@
 
 
 class ExhaustedSocket:
-    """A listening socket whose first `failures` accepts fail because no descriptor is left."""
+    """A listening socket whose first `failures` accepts fail because no file descriptor is left."""
 
     def __init__(self, listening_socket: socket.socket, failures: int) -> None:
         self.listening_socket = listening_socket
@@ -120,7 +120,7 @@
         await wait_until(lambda: not listener.rejections.counts)
 
         expected = (
-            f"clients of 127.0.0.1:{harness.port} rejected, each with an error reply or its connection "
-            "closed, by reason: {'unknown plan': 1}"
+            f"listener 127.0.0.1:{harness.port} rejected commands with an error reply or closed connections, "
+            "by reason: {'unknown plan': 1}"
         )
         assert expected in caplog.messages
--- a/tests/network/clients/test_request_parser.py
+++ b/tests/network/clients/test_request_parser.py
@@ -35,7 +35,7 @@
     (b"first=0", [b"first=", b"first=-1", b"first=x"], "first is no number"),
     (b"first=0", [b"first=1"], "set out of range"),
 ]
-"""A valid attribute, invalid replacements, and the reason with which a request with these is rejected."""
+"""A valid attribute, invalid replacements, and the reason for which requests with these are rejected."""
 
 
 def replace_attribute(valid: bytes, invalid: bytes, command: bytes = b"API.READ") -> tuple[bytes, ...]:
@@ -50,7 +50,7 @@
     ((b"API.READ", CUSTOMER, b"b", b"nonsense"), "malformed attributes"),
     ((b"API.READ", CUSTOMER, b"b", ATTRIBUTES + b",d=3"), "malformed attributes"),
     ((b"API.READ", b"a", b"b", ATTRIBUTES), "malformed customer"),
-    # The first number that is no customer is 2**33.
+    # 2**33 is the first number out of the range of customers.
     ((b"API.READ", b"0000000200000000", b"b", ATTRIBUTES), "malformed customer"),
     ((b"API.READ", b"+0000000b4d65521", b"b", ATTRIBUTES), "malformed customer"),
     ((b"API.READ", b"\xff" * 16, b"b", ATTRIBUTES), "malformed customer"),
--- a/tests/network/conftest.py
+++ b/tests/network/conftest.py
@@ -9,7 +9,7 @@
 
 @pytest.fixture
 def client_listeners(monkeypatch: pytest.MonkeyPatch) -> list[ClientListener]:
-    """The client listeners of the gateways that the test starts, in the order of their starts."""
+    """The client listeners of the gateways that the test starts, in the order in which they start."""
     listeners: list[ClientListener] = []
     listen = ClientListener.listen
 
--- a/tests/network/test_dispatcher.py
+++ b/tests/network/test_dispatcher.py
@@ -48,7 +48,7 @@
 
 
 class DispatcherHarness:
-    """A dispatcher with a scripted policy and one client connection, with `client` as its client side."""
+    """A dispatcher with a scripted policy and one client connection; `client` is the client's socket."""
 
     def __init__(self, max_open_requests: int = 10) -> None:
         self.policy = StubPolicy()
@@ -85,7 +85,7 @@
 
 @contextlib.asynccontextmanager
 async def unresponsive_backend(harness: DispatcherHarness) -> AsyncIterator[list[asyncio.StreamWriter]]:
-    """Start a listed backend that sends nothing on its connections; yield the writers of these."""
+    """List a backend that accepts connections but sends nothing; yield the writers of its connections."""
     writers: list[asyncio.StreamWriter] = []
     server = await asyncio.start_server(lambda _reader, writer: writers.append(writer), LOCAL, 0)
     port = server.sockets[0].getsockname()[1]
@@ -121,7 +121,7 @@
 async def test_request_that_the_policy_forgets_fails_at_its_deadline(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """Otherwise a fault at a timer or a counter response would leave the client without a reply."""
+    """Otherwise, if the policy failed to handle a timer or counter response, no reply would be sent."""
     harness = DispatcherHarness()
     pending_reply = harness.request(remaining_ms=20)
     assert pending_reply.reply is None
@@ -154,7 +154,7 @@
 async def test_attempt_not_started_for_a_disconnected_client_ends_by_its_own_number(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Reported under another number, the attempt would stay in flight for ever in the policy's counts."""
+    """Reported under another number, the attempt would count as in flight forever in the policy."""
     monkeypatch.setattr(client_connection, "DISCONNECT_CHECK_INTERVAL_MS", 0.0)
     harness = DispatcherHarness()
     harness.policy.actions_by_event[RequestArrived] = [StartAttempt("r1", BACKEND)]
@@ -194,7 +194,7 @@
 
 @runs_in_loop
 async def test_id_is_in_use_while_an_attempt_of_it_is_in_flight() -> None:
-    """The policy need not cancel an attempt when its request has ended, and knows both by the id."""
+    """An attempt that the policy does not cancel outlives its request; both are known by the request's id."""
     harness = DispatcherHarness()
     harness.policy.actions_by_event[RequestArrived] = [StartAttempt("r1", BACKEND), Reject("r1")]
     async with unresponsive_backend(harness) as writers:
--- a/tests/network/test_dispatcher_endings.py
+++ b/tests/network/test_dispatcher_endings.py
@@ -43,7 +43,7 @@
 SECOND_BACKEND = 8
 
 STALL_S = 0.12
-"""Seconds of a stall: longer than the 0.1 s in which an attempt may start for a disconnected client."""
+"""Length of a stall in seconds: over the 0.1 s in which an attempt may start for a disconnected client."""
 
 REMAINING_MS = 8_000
 """Milliseconds until the deadline: enough to open hundreds of requests one by one before the race, even on a
@@ -171,7 +171,7 @@
 
 
 class DisconnectRace:
-    """Clients that disconnect in the turn of the event loop in which their requests' trigger occurs."""
+    """Clients that disconnect in the iteration of the event loop in which their requests' trigger occurs."""
 
     def __init__(self, trigger: Trigger, client_count: int) -> None:
         self.trigger = trigger
@@ -248,7 +248,7 @@
 async def test_no_attempt_starts_for_a_client_whose_disconnect_is_unread(
     trigger: Trigger, client_count: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """After a stall, the event loop finds the trigger and the disconnect in one turn, the trigger first.
+    """After a stall, the event loop finds the trigger and then the disconnect in the same iteration.
 
     A timer or a counter response triggers a first attempt or a hedged request; a failed attempt triggers a
     retry.
@@ -266,7 +266,7 @@
         dispatcher.backends.update_endpoint(FIRST_BACKEND, race.backend.address, EndpointState.READY)
         dispatcher.backends.update_endpoint(SECOND_BACKEND, second.address, EndpointState.READY)
         other = await connect(port)
-        # This leaves an idle connection on which an attempt is written at once.
+        # This leaves an idle connection, on which an attempt would be written at once.
         assert await send_and_receive(other, b"before") == b"value"
         await wait_for_reuse_delay(dispatcher.backends)
         await race.send_requests(dispatcher, port)
@@ -284,7 +284,7 @@
 
 
 def accept_from(listener: socket.socket, client: socket.socket) -> socket.socket:
-    """Accept connections until the one from `client` has come, without a turn of the event loop."""
+    """Accept connections until the one from `client` arrives, without running the event loop."""
     client_address = client.getsockname()
     while True:
         connection, peer_address = listener.accept()
@@ -295,7 +295,7 @@
 
 @runs_in_loop
 async def test_connection_established_as_its_client_disconnects_is_not_written_to() -> None:
-    """The event loop finds both in one turn, first the connection, which waited behind a full queue."""
+    """One iteration of the event loop finds both, first the connection, which a full accept queue delayed."""
     with full_accept_queue() as (listener, queued_clients):
         async with running_dispatcher() as (dispatcher, policy, clients, port):
             dispatcher.backends.update_endpoint(FIRST_BACKEND, listener.getsockname(), EndpointState.READY)
