--- a/gateway/network/backends/connection.py
+++ b/gateway/network/backends/connection.py
@@ -80,7 +80,7 @@
         self._connect_timer = resources.loop.call_later(
             resources.connect_timeout_ms / MS_PER_S, self._on_connect_timeout
         )
-        resources.loop.add_writer(self.fd, self._on_connected)
+        resources.loop.add_writer(self.fd, self._on_connect_finished)
 
     # ---- connecting ----
 
@@ -94,9 +94,9 @@
         except OSError:
             self.close_and_end_attempt(Outcome.CONNECT_ERROR)
             return
-        self._on_connected()
+        self._on_connect_finished()
 
-    def _on_connected(self) -> None:
+    def _on_connect_finished(self) -> None:
         self.resources.loop.remove_writer(self.fd)
         self._connect_timer.cancel()
         if self.socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
