--- a/gateway/network/counter/call.py
+++ b/gateway/network/counter/call.py
@@ -14,7 +14,7 @@
 
 
 class CounterCall:
-    """A call and its result; the first result counts, and later ones are ignored."""
+    """A call to the counter, and its result once it has one; later results are ignored."""
 
     __slots__ = ("_on_completed", "_timeout_timer", "name", "on_response", "request_line", "result")
 
@@ -25,7 +25,10 @@
         on_response: ResponseCallback,
         on_completed: Callable[[str], None],
     ) -> None:
-        """Create a call that passes its name to `on_completed`, which in turn has to call `on_response`."""
+        """Create a call.
+
+        `on_completed` is called with `name` once the call has a result; it has to call `on_response`.
+        """
         self.name = name
         self.request_line = request_line
         self.on_response = on_response
@@ -34,14 +37,14 @@
         self._on_completed = on_completed
 
     def set_timeout_timer(self, timer: Timer) -> None:
-        """Set the timer to cancel on completion; cancel it at once if the call has already completed."""
+        """Store the timer that completion cancels; cancel it at once if the call has already completed."""
         if self.result is not None:
             timer.cancel()
             return
         self._timeout_timer = timer
 
     def complete(self, result: CounterResult) -> None:
-        """Set the result and cancel the timeout; do nothing if the call has already completed."""
+        """Set the result and cancel the timeout timer; do nothing if the call has already completed."""
         if self.result is not None:
             return
         self.result = result
--- a/gateway/network/counter/channel.py
+++ b/gateway/network/counter/channel.py
@@ -53,7 +53,10 @@
             self._loop.call_soon(self._flush)
 
     def time_out(self, call: CounterCall) -> None:
-        """Time out a call. A call that was not written has added nothing, and ends as a connect error."""
+        """Complete a call at its timeout.
+
+        A call that was written is timed out; one that was not has added nothing, and gets a connect error.
+        """
         is_written = call not in self.unwritten_calls
         call.complete(CounterResult(Outcome.TIMED_OUT if is_written else Outcome.CONNECT_ERROR))
 
@@ -113,7 +116,7 @@
         try:
             async with asyncio.timeout(self._connect_timeout_ms / MS_PER_S):
                 _, self.connection = await self._loop.create_connection(create_protocol, host, port)
-        except OSError:  # TimeoutError is a subclass
+        except OSError:  # OSError includes TimeoutError
             self._fail_unwritten_calls()
         finally:
             self.connect_task = None
--- a/gateway/network/counter/client.py
+++ b/gateway/network/counter/client.py
@@ -19,14 +19,17 @@
 log = logging.getLogger(__name__)
 
 CHANNEL_COUNT = 4
-"""Number of connections to the counter. A late response delays only those after it on its own connection."""
+"""Number of connections to the counter; a late response delays only later ones on the same connection."""
 
 FAILURE_LOG_INTERVAL_MS = 1_000.0
 """Interval, in milliseconds, at which connections closed after a fault are logged, in one line for all."""
 
 
 class CounterClient:
-    """Adds to named totals. Each call gets exactly one response; those for one name come in call order."""
+    """Adds amounts to named totals.
+
+    Each call gets exactly one response. Responses for the same name are reported in the order of the calls.
+    """
 
     def __init__(
         self,
--- a/gateway/network/counter/connection.py
+++ b/gateway/network/counter/connection.py
@@ -21,7 +21,7 @@
 """Idle time, in milliseconds, after which a connection is not reused: the counter may be closing it."""
 
 MAX_UNANSWERED_CALLS = 1_000
-"""Number of unanswered calls at which a connection takes no further calls and is closed."""
+"""Number of unanswered calls at which a connection is closed rather than used for further calls."""
 
 MAX_LINE_BYTES = 64
 """Maximum size, in bytes, of an incomplete response line; a longer one closes the connection."""
@@ -45,7 +45,7 @@
         on_failed: Callable[[CloseReason], None],
         on_closed: Callable[[CounterConnection], None],
     ) -> None:
-        """Create a protocol.
+        """Create the protocol of a new connection.
 
         `on_failed` is called before the connection closes after a fault, `on_closed` once it is closed.
         """
@@ -60,7 +60,8 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Store the transport; called by asyncio once the connection is established."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's transport is not a subclass
+        # A cast, because uvloop's transports are not instances of asyncio.Transport.
+        self.transport = cast(asyncio.Transport, transport)
 
     def write(self, calls: list[CounterCall]) -> None:
         """Write the calls; their responses arrive in the same order."""
@@ -75,7 +76,7 @@
     def close_if_unusable(self) -> None:
         """Close the connection if it is unresponsive, has too many unanswered calls or was idle too long."""
         now = now_ms()
-        # A peer that is cut off sends neither FIN nor RST; only the lack of responses shows it.
+        # A peer that becomes unreachable sends neither FIN nor RST; only the lack of responses shows it.
         if self.unanswered_calls and now - self.last_received_at > INACTIVITY_TIMEOUT_MS:
             self.fail(CloseReason.UNRESPONSIVE)
         elif len(self.unanswered_calls) >= MAX_UNANSWERED_CALLS:
--- a/gateway/network/counter/protocol.py
+++ b/gateway/network/counter/protocol.py
@@ -24,7 +24,7 @@
 """Status of a call that the counter could not carry out; nothing was added."""
 
 REJECTION_STATUSES = (OVERLOADED_STATUS, ERROR_STATUS)
-"""Responses to calls that added nothing."""
+"""Statuses of calls that added nothing."""
 
 INCREMENT_FORMAT = INCREMENT_COMMAND + b" %b %.6f %d\r\n"
 """Request line: name, amount in units, time to live (TTL) in milliseconds."""
@@ -33,7 +33,7 @@
 """Shortest TTL, in milliseconds, that the counter accepts."""
 
 SUCCESS_RESPONSE = re.compile(SUCCESS_STATUS + rb" (-?\d{1,18}(?:\.\d{0,18})?(?:[eE][+-]?\d\d?)?)")
-"""Response with a total; checked by a pattern because `float` alone would also accept nan, inf and 1_0."""
+"""Pattern of a response with a total; `float` alone would also accept nan, inf and 1_0."""
 
 
 class CounterResult(NamedTuple):
--- a/gateway/network/discovery/backoff.py
+++ b/gateway/network/discovery/backoff.py
@@ -1,9 +1,9 @@
 """Exponential backoff for a gateway whose calls are rejected by an overloaded service.
 
-A fleet that retries at a fixed interval would prolong the overload. So delays double, start in proportion to
-the size of the fleet and carry jitter: the call rate of all gateways together falls until the service
-recovers. Delays are capped, because a change that the service receives while a gateway backs off counts as
-notified `NOTIFICATION_BOUND_S` later, whether the gateway has received it or not.
+A fleet that retries at a fixed interval would prolong the overload. Delays therefore double after each
+rejection, start in proportion to the size of the fleet and have jitter: the call rate of the whole fleet
+falls until the service recovers. Delays are capped, because even a gateway that backs off is expected to know
+a change `NOTIFICATION_BOUND_S` after the service has received it.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 import random
 
 NOTIFICATION_BOUND_S = 6.0
-"""Time, in seconds, after which a change in discovery counts as notified, even if calls have failed."""
+"""Time, in seconds, after which a gateway is expected to know a change, even if calls to discovery failed."""
 
 MAX_DELAY_S = 2.5
 """Maximum delay, in seconds: two delays and the responses after them fit into `NOTIFICATION_BOUND_S`."""
@@ -35,7 +35,10 @@
     __slots__ = ("_delay_s", "_first_delay_s", "_initial_spread_s", "_max_delay_s", "_rng")
 
     def __init__(self, gateway_count: int, max_delay_s: float, rng: random.Random) -> None:
-        """Create a backoff; `max_delay_s` lowers the cap `MAX_DELAY_S` if the list may not grow that old."""
+        """Create a backoff.
+
+        `max_delay_s` is the maximum age of the endpoint list; it caps the delays if below `MAX_DELAY_S`.
+        """
         self._initial_spread_s = min(INITIAL_SPREAD_PER_GATEWAY_S * gateway_count, max_delay_s / 2)
         self._max_delay_s = min(MAX_DELAY_S, max_delay_s)
         self._first_delay_s = gateway_count * FIRST_DELAY_PER_GATEWAY_S
@@ -47,11 +50,11 @@
         return self._rng.uniform(0.0, self._initial_spread_s)
 
     def next_delay(self) -> float:
-        """Return the delay after another rejection, and double the one for the next rejection."""
+        """Return the delay after a rejection, and double the delay after the next one."""
         delay_s = min(self._delay_s, self._max_delay_s) * self._rng.uniform(MIN_JITTER, MAX_JITTER)
         self._delay_s = min(2 * self._delay_s, self._max_delay_s)
         return delay_s
 
     def reset(self) -> None:
-        """Restart from the first delay, as a call has been answered."""
+        """Restart from the first delay, after a call has been answered."""
         self._delay_s = self._first_delay_s
--- a/gateway/network/discovery/delivery.py
+++ b/gateway/network/discovery/delivery.py
@@ -15,10 +15,10 @@
 from .endpoint_list import EndpointListMessage, ListedEndpoint
 
 ENDPOINTS_PER_TURN = 64
-"""Work per turn of the event loop, in endpoints parsed and delivered, before other tasks run."""
+"""Budget of work per turn of the event loop, in endpoints parsed and delivered."""
 
 MESSAGE_COST = 4
-"""Cost of a message apart from its endpoints, in the unit of one endpoint."""
+"""Cost of a message in addition to its endpoints; the unit is the cost of one endpoint."""
 
 BYTES_PER_ENDPOINT_COST = 4096
 """Number of bytes whose copying costs as much as one endpoint."""
@@ -45,7 +45,7 @@
 
     def __init__(self, on_update: EndpointListener) -> None:
         self._on_update = on_update
-        self._cost_this_turn = 0  # work done since other tasks ran, in endpoints
+        self._cost_this_turn = 0  # work since other tasks last ran, in endpoints
 
     async def deliver(self, text: bytes) -> DeliveredUpdate:
         """Parse a message and deliver it.
@@ -77,10 +77,10 @@
 
 
 class _UpdateParts:
-    """The parts of one update that have been parsed and not delivered yet.
+    """The parts of one update that have been parsed but not delivered yet.
 
-    A part is held back until the kind of the update is known, which may come after all endpoints, and until
-    another part shows that it is not the last one.
+    Discovery may send the kind of an update after all endpoints, so parts are held back until it is known.
+    The latest part is held back until another one follows or the message ends, as the last part is marked.
     """
 
     __slots__ = ("_has_begun", "_message", "_on_update", "pending")
--- a/gateway/network/discovery/endpoint_list.py
+++ b/gateway/network/discovery/endpoint_list.py
@@ -55,7 +55,7 @@
 """Endpoint states by their names in `STATE_FIELD`."""
 
 MESSAGE_PREFIX = b'{"%b"' % VERSION_FIELD.encode()
-"""First bytes of each message, which begins on a new line."""
+"""First bytes of a message; each message begins on a new line."""
 
 BACKEND_ID_BYTES = 8
 """Length of a backend id, in bytes; 64 bits make a collision within a list practically impossible."""
@@ -64,11 +64,11 @@
 """Cell numbers are at least `-CELL_LIMIT` and less than `CELL_LIMIT`: they fit a signed 64-bit integer."""
 
 MALFORMED_DATA_ERRORS = (KeyError, TypeError, ValueError, AttributeError, OverflowError)
-"""Exceptions raised by reading a field of data that does not have the expected shape."""
+"""Exceptions that reading a field raises if the data does not have the expected form."""
 
 
 class EndpointListError(GatewayError):
-    """Discovery sent data that its protocol does not allow; the previous list stays in effect."""
+    """Raised if discovery sends data that violates its protocol; the previous list stays in effect."""
 
 
 class ListedEndpoint(NamedTuple):
@@ -87,7 +87,7 @@
 
 
 class EndpointListMessage:
-    """A message of a watch, which is parsed in batches of endpoints.
+    """A message from discovery, which is parsed in batches of endpoints.
 
     `version`, `is_snapshot` and `is_kind_known` reflect what has been parsed so far: discovery may send the
     version and the kind before or after the endpoints.
@@ -106,7 +106,7 @@
     def batches(self, size: int) -> Iterator[tuple[ListedEndpoint, ...]]:
         """Parse the message and yield its endpoints, `size` at a time.
 
-        Raises EndpointListError if the message is malformed; the batches before the malformed place have been
+        Raises EndpointListError if the message is malformed; the batches before the malformed data have been
         yielded by then.
         """
         try:
@@ -122,7 +122,7 @@
 
     @property
     def is_kind_known(self) -> bool:
-        """Whether the parsed part tells if the message is a snapshot or a delta."""
+        """Whether the part parsed so far shows if the message is a snapshot or a delta."""
         return IS_SNAPSHOT_FIELD in self._fields
 
     @property
@@ -160,7 +160,7 @@
     """
     cell = int(raw.get(CELL_FIELD) or 0)
     if not -CELL_LIMIT <= cell < CELL_LIMIT:
-        raise EndpointListError(f"expected a cell number of 64 bits in {CELL_FIELD!r}, got {cell}")
+        raise EndpointListError(f"expected a 64-bit cell number in {CELL_FIELD!r}, got {cell}")
     return cell
 
 
--- a/gateway/network/discovery/reopening.py
+++ b/gateway/network/discovery/reopening.py
@@ -10,7 +10,7 @@
 from .call import CallOutcome, CallResult, WatchCall
 
 HEDGE_DELAY_S = 2.5
-"""Time, in seconds, after which a hedged call is opened, as an unanswered polled call may be lost."""
+"""Time, in seconds, after which an unanswered polled call may be lost and a hedged call is opened."""
 
 MIN_REOPEN_DELAY_S = 0.1
 """Minimum delay, in seconds, before a watch is reopened after a failed call."""
@@ -24,8 +24,8 @@
 
     With `polls_discovery`, each call costs discovery work: the first calls of a fleet are spread, a call that
     was rejected as overloaded is retried after a backoff, and a hedged call is opened only once the call
-    before it is probably lost. Otherwise, calls go to a local agent, which answers at once and at no cost,
-    and are repeated every `retry_interval_s`.
+    before it is probably lost. Otherwise, a local agent answers calls at once and at no cost, so they are
+    repeated every `retry_interval_s` until one is answered.
     """
 
     def __init__(self, backoff: Backoff, *, polls_discovery: bool, retry_interval_s: float) -> None:
@@ -46,7 +46,7 @@
         self.next_call_at = 0.0
 
     def on_call_opened(self, now: float) -> None:
-        """Schedule the hedged call that is opened unless the call just opened is answered first."""
+        """Schedule a hedged call, which is opened unless the call just opened is answered first."""
         self.next_call_at = now + (HEDGE_DELAY_S if self._polls_discovery else self._retry_interval_s)
 
     def on_call_ended(
@@ -65,8 +65,8 @@
             result: how it ended.
             now: the time at which it ended.
             snapshot_delivered: whether the call requested a snapshot and delivered it.
-            has_unanswered_calls: whether later calls are open and unanswered. A polled one still waits in
-                discovery's queue, and the schedule set when it was opened stays in effect.
+            has_unanswered_calls: whether other calls are open and unanswered. Polled calls still wait in
+                discovery's queue, so the next call stays due at the time set when the last one was opened.
         """
         if call.is_answered:
             self._backoff.reset()
--- a/gateway/network/discovery/stream.py
+++ b/gateway/network/discovery/stream.py
@@ -17,15 +17,15 @@
 """Path of the endpoint list; without a query, the response is a snapshot."""
 
 WATCH_QUERY = "stream=1&index="
-"""Query of a watch, to which the version after which changes are requested is appended."""
+"""Query of a watch; the version is appended, and discovery sends the changes after it."""
 
 CONNECT_TIMEOUT_S = 1.0
-"""Timeout, in seconds, for establishing a connection; part of the sums in docs/endings.md."""
+"""Timeout, in seconds, for establishing a connection; one of the delays added up in docs/endings.md."""
 
 HEARTBEAT_TIMEOUT_S = 2.75
-"""Maximum time, in seconds, without data: discovery sends an empty line as a heartbeat every 2 s.
+"""Timeout, in seconds, for receiving data; discovery sends an empty line as a heartbeat every 2 s.
 
-Part of the sums in docs/endings.md.
+One of the delays added up in docs/endings.md.
 """
 
 READ_SIZE = 65_536
@@ -39,11 +39,11 @@
 
 
 class DiscoveryError(GatewayError):
-    """Discovery answered a call with an error status; the previous list stays in effect."""
+    """Raised if discovery answers a call with an error status; the previous list stays in effect."""
 
 
 class DiscoveryOverloadedError(DiscoveryError):
-    """Discovery rejected a call because of overload, which an immediate retry would prolong."""
+    """Raised if discovery rejects a call because of overload, which an immediate retry would prolong."""
 
 
 def list_target(version: int | None) -> str:
@@ -102,7 +102,7 @@
 ) -> h11.Event | type[h11.NEED_DATA] | type[h11.PAUSED]:
     """Return the next HTTP event, reading from the connection until one is complete."""
     while (event := http.next_event()) is h11.NEED_DATA:
-        # A peer that is cut off sends neither FIN nor RST; only missing heartbeats show it.
+        # A peer that becomes unreachable sends neither FIN nor RST; only missing heartbeats show it.
         async with asyncio.timeout(HEARTBEAT_TIMEOUT_S):
             http.receive_data(await reader.read(READ_SIZE))
     return event
--- a/gateway/network/discovery/watch.py
+++ b/gateway/network/discovery/watch.py
@@ -28,9 +28,9 @@
 class EndpointWatcher:
     """Watches the endpoint list from a version on and delivers each update to a listener.
 
-    With `polls_discovery`, the gateway calls discovery itself; otherwise a local agent pushes the list. A
-    drain that the agent has received counts as notified, so as long as no call to the agent is answered,
-    another one is opened every `retry_interval_s`. The first call that is answered becomes the active one,
+    With `polls_discovery`, the gateway calls discovery itself; otherwise a local agent pushes the list. The
+    gateway is expected to know a drain as soon as the agent has received it, so another call is opened every
+    `retry_interval_s` until the agent answers one. The first call that is answered becomes the active one,
     and the others are cancelled. `ReopenSchedule` determines when calls are opened.
 
     Attributes:
@@ -57,7 +57,7 @@
             backoff, polls_discovery=polls_discovery, retry_interval_s=retry_interval_s
         )
         self._active_call: WatchCall | None = None
-        self._unanswered_calls: list[WatchCall] = []  # the oldest first
+        self._unanswered_calls: list[WatchCall] = []  # oldest first
         self._last_result: CallResult | None = None
         self._state_changed = asyncio.Event()
 
@@ -129,7 +129,7 @@
         except (OSError, h11.ProtocolError, DiscoveryError) as error:  # OSError includes TimeoutError
             return CallResult.from_error(CallOutcome.FAILED, error)
         except Exception:
-            # Without a watch, the list goes stale and drains are missed, so it continues after any error.
+            # Without a watch, the list goes stale and drains are missed, so the watch survives any error.
             log.exception("update from discovery at %s not applied; reading a snapshot", call.address)
             self.version = None
             return CallResult(CallOutcome.FAILED)
--- a/gateway/network/process/configuration.py
+++ b/gateway/network/process/configuration.py
@@ -30,7 +30,7 @@
 MAX_DESCRIPTORS = "sockets"
 MEMORY_MB = "memory_mb"
 
-# Keys within the `settings` object that only the network code reads; the policy does not need them.
+# Objects in the `settings` object, and the keys of each that only the network code needs, not the policy.
 CAPABILITIES = "caps"
 CONNECT_TIMEOUT_MS = "connectTimeout"
 KEEPALIVE_MS = "keepalive"
--- a/gateway/network/process/parts.py
+++ b/gateway/network/process/parts.py
@@ -25,13 +25,13 @@
 BYTES_PER_MB = 2**20
 
 BUFFER_MEMORY_SHARE = 0.2
-"""Fraction of the memory limit for incomplete backend replies, and the same again for unsent replies."""
+"""Fraction of the memory limit for incomplete backend replies, and again for unsent replies to clients."""
 
 WATCH_RETRY_GRACE_SHARE = 0.25
-"""Fraction of the drain grace that a watch may go without a response before another is opened beside it."""
+"""Interval between calls of a watch while none is answered, as a fraction of the drain grace."""
 
 MIN_WATCH_RETRY_INTERVAL_S = 0.05
-"""Minimum time that a watch may go without a response before another is opened beside it, in seconds."""
+"""Minimum interval between calls of a watch while none is answered, in seconds."""
 
 
 class PartFactory:
@@ -111,5 +111,5 @@
 
 
 def _watch_retry_interval_s(rules: SafetyRules) -> float:
-    """Return the time without a response after which another watch is opened, in seconds."""
+    """Return the interval between calls of a watch while none is answered, in seconds."""
     return max(MIN_WATCH_RETRY_INTERVAL_S, rules.drain_grace_ms / MS_PER_S * WATCH_RETRY_GRACE_SHARE)
--- a/gateway/network/process/server.py
+++ b/gateway/network/process/server.py
@@ -51,7 +51,7 @@
         Args:
             config: the configuration at startup.
             load_config: reads the configuration again for a reload, which applies its addresses.
-            reload_signal: triggers reloads; they are disabled without it or without `load_config`.
+            reload_signal: triggers reloads, which are disabled if it or `load_config` is None.
             shutdown_schedule: replaces the schedule that is derived from the settings.
         """
         self._config = config
@@ -80,7 +80,8 @@
             listener = self._start_listening(watcher, on_ready)
             await asyncio.wait({stop_task, watch_task}, return_when=asyncio.FIRST_COMPLETED)
             if watch_task.done():
-                watch_task.result()  # raises: better to crash visibly than to serve with an outdated list
+                # Raises the error of the watch: better to crash visibly than to serve with an outdated list.
+                watch_task.result()
             await self._shut_down(listener)
         finally:
             watch_task.cancel()
@@ -95,8 +96,8 @@
 
         Returns:
             The version to watch from, or None to read a snapshot first. A list that an agent pushes is
-            always read as a snapshot: the cached list may be outdated, and the gateway counts as notified
-            of everything in the agent's list from the start of the process.
+            always read as a snapshot: the cached list may be outdated, but the gateway is expected to know
+            everything in the agent's list from the start of the process.
         """
         if not self._config.cached_endpoints:
             return None
@@ -115,7 +116,7 @@
     async def _await_first_snapshot(
         self, watcher: EndpointWatcher, watch_task: asyncio.Task[None], stop_task: asyncio.Task[bool]
     ) -> None:
-        """Wait for the first snapshot, but no longer than a responsive agent would take."""
+        """Wait for the first snapshot, a failed watch or a stop, at most `FIRST_SNAPSHOT_TIMEOUT_S`."""
         snapshot_task = self._loop.create_task(watcher.snapshot_received.wait())
         try:
             await asyncio.wait(
@@ -172,7 +173,7 @@
         )
 
     async def _fail_open_requests(self, listener: ClientListener) -> int:
-        """Fail each open request with a reply, since SIGKILL would drop it silently; return their number."""
+        """Reply to open requests with a failure, since SIGKILL would drop them silently; return the count."""
         failed_requests = self._dispatcher.open_request_count
         log.warning(
             "gateway %s: %d requests still open at the end of the shutdown; each gets a failure reply",
--- a/gateway/network/process/shutdown_schedule.py
+++ b/gateway/network/process/shutdown_schedule.py
@@ -15,7 +15,7 @@
 FAIL_AFTER_DEADLINE_S = 0.4
 """Time from the longest deadline until open requests are failed, in seconds.
 
-SIGKILL comes 0.7 s after the longest deadline.
+The platform sends SIGKILL 0.7 s after the longest deadline.
 """
 
 DEFAULT_REQUEST_TIME_S = 3.0
@@ -32,7 +32,7 @@
     Attributes:
         keep_serving_s: time from SIGTERM until the gateway begins to close client connections.
         fail_requests_s: time from SIGTERM until the requests that are still open are failed.
-        close_timeout_s: time from then on until the remaining client connections are closed anyway.
+        close_timeout_s: time from then until client connections that are still open are closed.
     """
 
     keep_serving_s: float
--- a/gateway/network/process/signals.py
+++ b/gateway/network/process/signals.py
@@ -24,7 +24,7 @@
     reload_signal = ReloadSignal()
     for signum in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signum, stop.set)
-    # Install the SIGHUP handler before anything else: the signal's default action ends the process.
+    # Handle SIGHUP before the configuration is read: the signal's default action ends the process.
     loop.add_signal_handler(signal.SIGHUP, reload_signal.trigger)
     read_config = partial(load_config, path)
     server = GatewayServer(read_config(), load_config=read_config, reload_signal=reload_signal)
--- a/gateway/network/timers.py
+++ b/gateway/network/timers.py
@@ -32,12 +32,12 @@
         self.callback: Callable[[], None] | None = callback
 
     def cancel(self) -> None:
-        """Cancel the callback; does nothing once it has been called."""
+        """Cancel the callback; do nothing if it has already been called."""
         self.callback = None
 
 
 class TimerQueue:
-    """Runs callbacks at times of `now_ms`, never early; all timers share one timer of the event loop."""
+    """Runs callbacks at times of the `now_ms` clock, never early; all share one timer of the event loop."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
@@ -65,9 +65,8 @@
 
     def _run(self) -> None:
         self._loop_timer = None
-        self._loop_timer_due_ms = (
-            -math.inf
-        )  # timers added by callbacks leave the loop timer alone; it is set below
+        # Timers that callbacks add must not set the loop timer, which is set once all callbacks have run.
+        self._loop_timer_due_ms = -math.inf
         try:
             self._call_due()
         finally:
@@ -79,7 +78,7 @@
         """Run the callbacks of all timers that are due, and drop cancelled timers at the head of the queue.
 
         No timer may fire before its due time: the policy would ignore it, and its request would never end.
-        The event loop rounds to whole milliseconds and may call early, so each due time is checked here.
+        The event loop rounds to whole milliseconds and may run early, so each due time is checked here.
         """
         heap = self._heap
         now = now_ms()
--- a/gateway/settings_document.py
+++ b/gateway/settings_document.py
@@ -124,7 +124,7 @@
 
 
 def parse_request_class(entry: dict[str, Any]) -> RequestClass:
-    """Parse one entry of the request classes."""
+    """Parse the settings of one request class."""
     return RequestClass(
         name=str(entry[NAME]),
         latency_objective_ms=float(entry.get(LATENCY_OBJECTIVE_MS) or entry[DEADLINE_MS]),
@@ -139,7 +139,7 @@
 
 
 def parse_plan(entry: dict[str, Any]) -> Plan:
-    """Parse one entry of the plans."""
+    """Parse the settings of one plan."""
     return Plan(
         name=str(entry[NAME]),
         rate=float(entry.get(RATE) or 0),
--- a/gateway/simulator/__main__.py
+++ b/gateway/simulator/__main__.py
@@ -14,7 +14,7 @@
 
 
 def main(lines: TextIO = sys.stdin, replies: TextIO = sys.stdout) -> int:
-    """Answer batches until the input ends or one is malformed, and return the exit status."""
+    """Answer batches until the input ends or a batch is malformed, and return the exit status."""
     host = InstanceHost()
     for line in lines:
         if not line.strip():
--- a/gateway/simulator/decoding.py
+++ b/gateway/simulator/decoding.py
@@ -57,7 +57,7 @@
 
 
 def decode_event(name: str, values: list[Any]) -> Event | None:
-    """Return the policy's event for a simulator event, or None if the policy has no use for it.
+    """Return the policy's event for a simulator event, or None if the policy does not need it.
 
     Raises:
         WireFormatError: the name is unknown, or a value is not a string where one is expected.
--- a/gateway/simulator/encoding.py
+++ b/gateway/simulator/encoding.py
@@ -35,7 +35,7 @@
 
 
 def _encode_attempt(action: StartAttempt) -> WireAction:
-    # `start_before` is left out: the simulator starts an attempt immediately, so that time never passes.
+    # `start_before` is left out: the simulator starts an attempt immediately, and so never too late.
     return [START_ATTEMPT, action.request_id, action.timeout_ms, action.backend_id]
 
 
--- a/gateway/simulator/host.py
+++ b/gateway/simulator/host.py
@@ -54,7 +54,7 @@
         self._policies: dict[int, GatewayPolicy] = {}
 
     def handle_batch(self, line: str) -> str:
-        """Return the reply to one batch: the actions of each instance that takes any.
+        """Handle one batch and return the reply, with the actions of each instance that has any.
 
         Raises:
             WireFormatError: the batch does not follow the protocol.
--- a/tests/network/counter/test_counter_client.py
+++ b/tests/network/counter/test_counter_client.py
@@ -38,7 +38,7 @@
         self.responses.append((name, outcome, total))
 
     async def wait_for_responses(self, count: int) -> list[Response]:
-        """Wait until at least `count` responses were reported in total, and return all of them."""
+        """Wait until at least `count` responses have been reported in total, and return all of them."""
         await wait_until(lambda: len(self.responses) >= count)
         return self.responses
 
@@ -114,7 +114,7 @@
 
 @runs_in_loop
 async def test_late_response_belongs_to_its_own_call() -> None:
-    """Matched to the next call, a late response would report the total of another time or name."""
+    """Matched to the next call, a late response would give it an outdated total or that of another name."""
     may_respond = asyncio.Event()
 
     async def respond_late_to_first(fields: list[bytes]) -> ScriptedReply:
@@ -186,7 +186,7 @@
 
 @runs_in_loop
 async def test_unresponsive_connection_is_replaced(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Connections to a host that is cut off from the network stay open but never receive data."""
+    """Connections to a host that becomes unreachable stay open but never receive data."""
     monkeypatch.setattr(counter_connection, "INACTIVITY_TIMEOUT_MS", 50.0)
     server = FakeCounter(always(None))
     async with running_client(server, call_timeout_ms=100.0) as client:
@@ -203,7 +203,7 @@
 
 @runs_in_loop
 async def test_malformed_response_ends_its_connection() -> None:
-    """The amount was added, and later responses on the connection cannot be matched to calls."""
+    """The amount was added, so the call times out; later responses cannot be matched to calls."""
 
     async def script(fields: list[bytes]) -> ScriptedReply:
         return b"ok \r\nok 999\r\n" if fields[1] == b"malformed" else b"ok 7\r\n"
--- a/tests/network/discovery/test_backoff.py
+++ b/tests/network/discovery/test_backoff.py
@@ -65,7 +65,7 @@
 @pytest.mark.parametrize("gateway_count", [1, 40, 200, 3_700])
 @pytest.mark.parametrize("seed", range(20))
 def test_two_consecutive_delays_leave_time_for_the_response(gateway_count: int, seed: int) -> None:
-    """A change counts as notified after `NOTIFICATION_BOUND_S`, even if it was not delivered by then."""
+    """A gateway is expected to know a change after `NOTIFICATION_BOUND_S`, even if its calls are rejected."""
     backoff = Backoff(gateway_count, LOOSE_MAX_DELAY_S, random.Random(seed))
 
     delays = [backoff.next_delay() for _ in range(20)]
--- a/tests/network/discovery/test_endpoint_endings.py
+++ b/tests/network/discovery/test_endpoint_endings.py
@@ -39,7 +39,7 @@
 async def test_unanswered_call_is_hedged_and_the_first_response_is_followed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Changes that the agent has when it responds again count as notified: lost calls must not delay them."""
+    """The gateway is expected to know a change once the agent has it; lost calls must not delay it."""
     monkeypatch.setattr("gateway.network.discovery.stream.HEARTBEAT_TIMEOUT_S", 3600.0)
     agent = PausedDiscovery()
     async with WatchHarness(discovery=agent, retry_interval_s=0.01) as watch:
@@ -56,7 +56,7 @@
 
 @runs_in_loop
 async def test_start_waits_for_the_agent_s_endpoint_list(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The cached list may be stale, but a drain that the agent has received counts as notified."""
+    """The gateway is expected to know drains that the agent has received; the cached list may lack them."""
     monkeypatch.setattr(FIRST_SNAPSHOT_TIMEOUT, 3600.0)
     drained = FakeBackend()
     other = FakeBackend()
@@ -113,7 +113,7 @@
 
 @runs_in_loop
 async def test_move_to_an_unresponsive_address_keeps_the_old_watch() -> None:
-    """A drain that arrives at the old address in the meantime counts as notified and must be delivered."""
+    """A drain from the old address must still be delivered, as the gateway is expected to know it."""
     async with open_watch(discovery=FakeDiscovery(), retry_interval_s=0.01) as watch:
         new_discovery = PausedDiscovery()
         await new_discovery.start()
--- a/tests/network/discovery/test_endpoint_watch.py
+++ b/tests/network/discovery/test_endpoint_watch.py
@@ -113,7 +113,7 @@
 
 @runs_in_loop
 async def test_watch_without_heartbeats_is_reopened(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A peer that is cut off does not close the connection, and the list would go stale."""
+    """A peer that becomes unreachable does not close the connection, and the list would go stale."""
     monkeypatch.setattr(endpoint_stream, "HEARTBEAT_TIMEOUT_S", 0.05)
     async with open_watch() as watch:
         await watch.wait_for_watches(2)
@@ -129,7 +129,7 @@
 
 
 class RecordingBackoff(Backoff):
-    """Records its delays; returns 0 for the first two, and for the third one more than the test takes."""
+    """Records its delays; returns 0 for the first two, then 1 h, so that the test makes no further calls."""
 
     __slots__ = ("delays",)
 
@@ -178,7 +178,7 @@
 async def test_move_reads_a_snapshot_at_the_new_address_first() -> None:
     async with open_watch() as watch:
         await check_move(watch, "h0")
-        await check_move(watch, "h1")  # a second change works as well
+        await check_move(watch, "h1")  # a second move works as well
 
 
 async def check_move(watch: WatchHarness, new_host: str) -> None:
@@ -224,9 +224,8 @@
 
         draining = endpoint_entry("h0", first.port, "draining")
         harness.discovery.send_update(42, draining, endpoint_entry("h9", second.port))
-        await wait_until(
-            lambda: first.closed_by_gateway_count
-        )  # the idle connection is closed when the delta is applied
+        # The idle connection is closed when the delta is applied.
+        await wait_until(lambda: first.closed_by_gateway_count)
         for number in range(3):
             assert await harness.request(peer, id=b"%d" % number) == b"value"
 
--- a/tests/network/discovery/test_notification_bound.py
+++ b/tests/network/discovery/test_notification_bound.py
@@ -1,4 +1,4 @@
-"""A change is delivered within 6 s after discovery has received it, in spite of faults; in virtual time."""
+"""A change is delivered within 6 s after discovery has received it, despite faults; in virtual time."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 class FaultyDiscovery(FakeDiscovery):
-    """Serves, rejects or leaves calls unanswered, according to `mode`; sends heartbeats to open watches."""
+    """Serves calls, rejects them or leaves them unanswered, as `mode` says; sends heartbeats to watches."""
 
     def __init__(self, response_s: float) -> None:
         super().__init__()
--- a/tests/network/process/test_deployment_settings.py
+++ b/tests/network/process/test_deployment_settings.py
@@ -78,10 +78,10 @@
 }
 
 RETRIED_EFFECTS = {"pure", "token"}
-"""The effects whose requests are retried.
+"""Values of the key `effect` of the request classes whose requests are retried.
 
 Requests with an idempotency key are among them because all backends here are in one zone and cell: whatever
-the deduplication scope, each recognises the others' keys.
+the deduplication scope, each backend recognises the others' keys.
 """
 
 CASES = [
--- a/tests/network/process/test_descriptor_budget.py
+++ b/tests/network/process/test_descriptor_budget.py
@@ -144,7 +144,7 @@
 
 
 async def open_hanging_requests(peers: list[RespPeer], backend: FakeBackend) -> None:
-    """Send a request that hangs on each client connection; each occupies one backend connection."""
+    """On each client connection, send a request that gets no reply and so occupies a backend connection."""
     for number, peer in enumerate(peers):
         peer.send(*counted_request(b"hangs%d" % number, number))
         await wait_until(lambda number=number: len(backend.received) > number)  # type: ignore[misc]
--- a/tests/network/process/test_gateway_server.py
+++ b/tests/network/process/test_gateway_server.py
@@ -18,7 +18,7 @@
 
 
 async def never_reply(_command: list[bytes]) -> ScriptedReply:
-    """Leave the request in flight, as the script of a fake backend."""
+    """Leave the request in flight; a script for a fake backend."""
     return None
 
 
@@ -72,7 +72,7 @@
 
 
 def test_open_connections_are_served_while_draining() -> None:
-    """A draining gateway serves on because the fleet lacks its capacity until it has restarted."""
+    """A draining gateway keeps serving, because the fleet lacks its capacity until it has restarted."""
     schedule = ShutdownSchedule(keep_serving_s=0.3, fail_requests_s=0.6)
 
     async def scenario() -> None:
--- a/tests/network/process/test_process_endings.py
+++ b/tests/network/process/test_process_endings.py
@@ -15,7 +15,7 @@
 
 
 def test_requests_on_connections_in_the_accept_queue_are_answered() -> None:
-    """The kernel has accepted these connections; closing the listener would reset complete requests."""
+    """The kernel has accepted these connections; closing the listener would reset them and lose requests."""
 
     async def scenario() -> None:
         async with running_listener() as (listener, handler, port):
@@ -102,7 +102,7 @@
 
 
 def test_request_after_the_final_replies_is_rejected_and_not_forwarded() -> None:
-    """A backend's reply could not arrive in time, and a request that never ran may be retried elsewhere."""
+    """A backend could no longer reply in time, and a request that never ran may be retried elsewhere."""
     schedule = ShutdownSchedule(keep_serving_s=0.01, fail_requests_s=0.05, close_timeout_s=10.0)
 
     async def never_reply(_command: list[bytes]) -> ScriptedReply:
--- a/tests/network/process/test_shutdown_schedule.py
+++ b/tests/network/process/test_shutdown_schedule.py
@@ -16,7 +16,7 @@
 def test_shutdown_serves_on_and_ends_before_sigkill(
     latency_objective_ms: float, deadline_ms: float, keep_serving_s: float, fail_requests_s: float
 ) -> None:
-    """SIGKILL comes at the earliest 0.7 s after the longest deadline, of which at most 3 s count."""
+    """SIGKILL is sent 0.7 s after the longest deadline or later; deadlines above 3 s count as 3 s."""
     request_class = RequestClass("view", latency_objective_ms, deadline_ms)
 
     schedule = ShutdownSchedule.for_settings(settings(request_classes=(request_class,)))
--- a/tests/network/process/test_starts.py
+++ b/tests/network/process/test_starts.py
@@ -112,7 +112,7 @@
 
 
 async def measure_readiness(configs: dict[int, Path]) -> list[float]:
-    """Start all processes at once, kill them when all are ready; return the sorted times to readiness."""
+    """Start all processes at once, kill them once all are ready, and return the sorted times to readiness."""
     processes: list[asyncio.subprocess.Process] = []
     try:
         wait_tasks = []
@@ -158,7 +158,7 @@
 def test_nine_in_ten_of_many_that_start_at_once_are_ready_in_time(
     state: str, ports: list[int], tmp_path: Path
 ) -> None:
-    """The restart follows a SIGKILL while clients were connected."""
+    """The restart follows a SIGKILL that ends the processes while clients are connected."""
 
     async def scenario() -> None:
         async with discovery_port(state) as discovery:
--- a/tests/network/test_timers.py
+++ b/tests/network/test_timers.py
@@ -11,7 +11,7 @@
 
 @runs_in_loop
 async def test_timers_never_fire_early_and_keep_their_order() -> None:
-    """The policy ignores a timer that fires early, so the request that the timer is for would never end."""
+    """The policy ignores a timer that fires early, and the request that set it would never end."""
     timers = TimerQueue(asyncio.get_running_loop())
     delays_ms = [3.4, 0.6, 2.5, 0.0, 7.7, 1.49]
     fired: list[int] = []
