--- a/gateway/network/process/server.py
+++ b/gateway/network/process/server.py
@@ -156,35 +156,35 @@
             self._shutdown_schedule.keep_serving_s,
             self._shutdown_schedule.fail_requests_s,
         )
-        failed_requests = 0
+        failed_request_count = 0
         await asyncio.sleep(self._shutdown_schedule.keep_serving_s)
         listener.begin_shutdown()
         try:
             async with asyncio.timeout_at(began_at_s + self._shutdown_schedule.fail_requests_s):
                 await listener.all_closed.wait()
         except TimeoutError:
-            failed_requests = await self._fail_open_requests(listener)
+            failed_request_count = await self._fail_open_requests(listener)
         listener.close()
         log.info(
             "gateway %s drained after %.2f s: %d requests failed at the end of the shutdown",
             self._config.name,
             self._loop.time() - began_at_s,
-            failed_requests,
+            failed_request_count,
         )
 
     async def _fail_open_requests(self, listener: ClientListener) -> int:
         """Reply to open requests with a failure, since SIGKILL would drop them silently; return the count."""
-        failed_requests = self._dispatcher.open_request_count
+        failed_request_count = self._dispatcher.open_request_count
         log.warning(
             "gateway %s: %d requests still open at the end of the shutdown; each gets a failure reply",
             self._config.name,
-            failed_requests,
+            failed_request_count,
         )
         self._dispatcher.fail_open_requests()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self._shutdown_schedule.close_timeout_s):
                 await listener.all_closed.wait()
-        return failed_requests
+        return failed_request_count
 
     def _close_connections(self) -> None:
         self._backends.close()
--- a/gateway/simulator/decoding.py
+++ b/gateway/simulator/decoding.py
@@ -89,8 +89,8 @@
     request_id, request_class, plan, customer, deadline, cost, set_size, set_start = values[:FLAGS_INDEX]
     flags = values[FLAGS_INDEX] if len(values) > FLAGS_INDEX else 0
     return RequestArrived(
-        request_id=_text(request_id),
-        request_class=_text(request_class),
+        request_id=_require_string(request_id),
+        request_class=_require_string(request_class),
         plan=str(plan or ""),
         customer=str(customer or ""),
         deadline=float(deadline),
@@ -104,7 +104,7 @@
 def _decode_attempt_end(values: list[Any]) -> Event:
     request_id, _settled, latency_ms, outcome, is_finished, attempt_number, backend_id = values[:7]
     return AttemptEnded(
-        request_id=_text(request_id),
+        request_id=_require_string(request_id),
         attempt_number=int(attempt_number),
         backend_id=int(backend_id),
         outcome=OUTCOMES[outcome],
@@ -115,20 +115,20 @@
 
 def _decode_response_start(values: list[Any]) -> Event:
     request_id, attempt_number, backend_id = values[:3]
-    return ResponseStarted(_text(request_id), int(attempt_number), int(backend_id))
+    return ResponseStarted(_require_string(request_id), int(attempt_number), int(backend_id))
 
 
 def _decode_disconnect(values: list[Any]) -> Event:
-    return ClientDisconnected(_text(values[0]))
+    return ClientDisconnected(_require_string(values[0]))
 
 
 def _decode_counter_response(values: list[Any]) -> Event:
     total, _latency_ms, outcome, name = values[:4]
-    return CounterResponse(_text(name), OUTCOMES[outcome], float(total or 0))
+    return CounterResponse(_require_string(name), OUTCOMES[outcome], float(total or 0))
 
 
 def _decode_timer(values: list[Any]) -> Event | None:
-    token = _text(values[0])
+    token = _require_string(values[0])
     try:
         return TimerFired(TimerToken.decode(token))
     except ValueError:
@@ -144,7 +144,7 @@
     return None
 
 
-def _text(value: Any) -> str:
+def _require_string(value: Any) -> str:
     if not isinstance(value, str):
         raise WireFormatError(f"decoding an event of the simulator: expected a string, got {value!r}")
     return value
--- a/tests/network/discovery/test_endpoint_endings.py
+++ b/tests/network/discovery/test_endpoint_endings.py
@@ -36,7 +36,7 @@
 
 
 @runs_in_loop
-async def test_unanswered_call_is_hedged_and_the_first_response_is_followed(
+async def test_unanswered_call_is_hedged_and_the_first_answered_one_is_kept(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The gateway is expected to know a change once the agent has it; lost calls must not delay it."""
--- a/tests/network/process/test_descriptor_budget.py
+++ b/tests/network/process/test_descriptor_budget.py
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize("configured", [1, 40, 41, 64, 96, 1024, 65_536])
-def test_budget_leaves_reserved_descriptors_to_neither_clients_nor_backends(configured: int) -> None:
+def test_budget_keeps_reserved_descriptors_from_clients_and_backends(configured: int) -> None:
     budget = budget_descriptors(configured)
 
     assert budget.client_connections >= 1
@@ -85,7 +85,7 @@
 
     def __init__(self, port: int, count: int) -> None:
         self.port = port
-        self.closed_connections = 0
+        self.closed_connection_count = 0
         self.tasks = [asyncio.create_task(self._idle()) for _ in range(count)]
 
     async def _idle(self) -> None:
@@ -96,7 +96,7 @@
                     await reader.read()
                 finally:
                     writer.close()
-                    self.closed_connections += 1
+                    self.closed_connection_count += 1
 
     async def stop(self) -> None:
         for task in self.tasks:
@@ -182,7 +182,7 @@
             counter_connections = harness.counter.accepted_count
             async with idle_clients(port, 2 * budget.client_connections) as clients:
                 # More connections were closed than there are clients, so the clients' share is exhausted.
-                await wait_until(lambda: clients.closed_connections > 2 * budget.client_connections)
+                await wait_until(lambda: clients.closed_connection_count > 2 * budget.client_connections)
                 await request_until_served(port, counted_request(b"cached", 1_000))
 
                 harness.counter.close_connections()
--- a/tests/network/process/test_process_endings.py
+++ b/tests/network/process/test_process_endings.py
@@ -129,7 +129,7 @@
     run_in_loop(scenario)
 
 
-def test_input_received_by_process_end_is_answered() -> None:
+def test_input_received_before_the_listener_closes_is_answered() -> None:
     async def scenario() -> None:
         async with running_listener() as (listener, handler, port):
             handler.immediate_reply = b"-BUSY\r\n"
--- a/tests/network/process/test_starts.py
+++ b/tests/network/process/test_starts.py
@@ -155,7 +155,7 @@
 
 @pytest.mark.timeout(150)
 @pytest.mark.parametrize("state", ["up", "connection refused", "unresponsive", "unreachable"])
-def test_nine_in_ten_of_many_that_start_at_once_are_ready_in_time(
+def test_nine_in_ten_gateways_that_start_at_once_are_ready_in_time(
     state: str, ports: list[int], tmp_path: Path
 ) -> None:
     """The restart follows a SIGKILL that ends the processes while clients are connected."""
