--- a/tests/support/backend_harness.py
+++ b/tests/support/backend_harness.py
@@ -33,7 +33,7 @@
 
 @asynccontextmanager
 async def open_pool(*servers: FakeServer, **settings: Any) -> AsyncIterator[BackendPool]:
-    """Start the servers, and a pool that lists them as ready backends with ids from 0.
+    """Start the servers, and open a pool that lists them as ready backends with ids from 0.
 
     `settings` replace entries of `POOL_SETTINGS`.
     """
@@ -51,7 +51,7 @@
 
 
 class ManualBackend(NamedTuple):
-    """A backend whose connections a test accepts and writes to itself, and the pool that lists it."""
+    """A backend whose connections the test handles itself, and the pool that lists it."""
 
     server: ManualServer
     pool: BackendPool
@@ -101,7 +101,7 @@
 
 
 def stop_polling(connection: BackendConnection) -> None:
-    """Leave what the connection receives unread, as if the event loop had not polled its socket yet."""
+    """Stop reading from the connection, as if the event loop had not polled its socket yet."""
     connection.resources.loop.remove_reader(connection.fd)
 
 
@@ -112,14 +112,14 @@
 
 
 class AttemptEnd(NamedTuple):
-    """The outcome of an attempt, and the value of its reply (empty if it has none)."""
+    """The outcome of an attempt, and the value of the reply, which is empty if there is none."""
 
     outcome: Outcome
     value: bytes
 
 
 class RecordedAttempt:
-    """An attempt that starts at once; `ends` records every end that is reported for it."""
+    """An attempt that starts when it is created; `ends` records each reported end."""
 
     def __init__(
         self, pool: BackendPool, backend_id: int = 0, timeout_ms: float = 3000, body: bytes = b""
@@ -150,7 +150,7 @@
         self._ended.set()
 
     async def result(self) -> AttemptEnd:
-        """Wait until the attempt has ended and return its end; only one may have been reported."""
+        """Wait until the attempt has ended and return its end; there must be exactly one."""
         await self._ended.wait()
         (end,) = self.ends
         return end
--- a/tests/support/clients.py
+++ b/tests/support/clients.py
@@ -28,11 +28,12 @@
 
 @dataclass
 class RecordingHandler:
-    """Keeps every request until a test replies; replaces the dispatcher behind a client listener."""
+    """Replaces the dispatcher behind a client listener; a test completes the replies that it keeps."""
 
     pending_replies: dict[str, PendingReply] = field(default_factory=dict)
     disconnected: list[str] = field(default_factory=list)
     immediate_reply: bytes = b""
+    """Unless empty, this reply completes every request at once."""
 
     def on_request(self, request: ClientRequest, pending_reply: PendingReply) -> None:
         self.pending_replies[request.id] = pending_reply
@@ -44,7 +45,7 @@
 
 
 class RunningListener(NamedTuple):
-    """A client listener that accepts connections at a port, and the handler of its requests."""
+    """A client listener, the handler of its requests, and the port that it listens on."""
 
     listener: ClientListener
     handler: RecordingHandler
@@ -55,7 +56,7 @@
 async def running_listener(
     max_connections: int = 100, memory_bytes: int = CLIENT_MEMORY_BYTES
 ) -> AsyncIterator[RunningListener]:
-    """Run a client listener whose requests a `RecordingHandler` keeps."""
+    """Run a client listener that passes its requests to a `RecordingHandler`."""
     loop = asyncio.get_running_loop()
     handler = RecordingHandler()
     listener = ClientListener(
@@ -81,7 +82,7 @@
     max_connections: int = 10,
     max_open_requests: int = 10,
 ) -> Dispatcher:
-    """Return a dispatcher between a scripted policy and an empty backend pool."""
+    """Return a dispatcher with a scripted policy and an empty backend pool."""
     loop = asyncio.get_running_loop()
     timers = TimerQueue(loop)
     backends = BackendPool(
@@ -108,7 +109,7 @@
 def create_listener(
     dispatcher: Dispatcher, parser: RequestParser = PARSER, max_connections: int = 10
 ) -> ClientListener:
-    """Return a client listener that hands its requests to the dispatcher."""
+    """Return a client listener that passes its requests to the dispatcher."""
     return ClientListener(
         asyncio.get_running_loop(),
         dispatcher.timers,
@@ -119,7 +120,7 @@
 
 
 class RunningDispatcher(NamedTuple):
-    """A dispatcher, its scripted policy, and the client listener that accepts connections at a port."""
+    """A dispatcher, its scripted policy, its client listener, and the port that the listener uses."""
 
     dispatcher: Dispatcher
     policy: StubPolicy
@@ -154,19 +155,19 @@
 
 
 def connect_blocking(port: int, data: bytes = b"") -> socket.socket:
-    """Connect a client and send data; the gateway's event loop does not run in between."""
+    """Connect a client and send data with blocking calls; the event loop does not run in between."""
     client = socket.create_connection((LOCAL, port))
     client.sendall(data)
     return client
 
 
 async def peer_from_socket(client: socket.socket) -> RespPeer:
-    """Return a peer that uses a socket of `connect_blocking` through the event loop."""
+    """Return a peer for a socket of `connect_blocking`; from then on, the event loop handles the socket."""
     return RespPeer(*await asyncio.open_connection(sock=client))
 
 
 async def call_between_reads(callback: Callable[[], None]) -> None:
-    """Call `callback` among the reads of one iteration of the event loop; its timers run before new reads."""
+    """Call `callback` while the event loop handles readable sockets; due timers run before the next reads."""
     loop = asyncio.get_running_loop()
     is_called = asyncio.Event()
     receiver, sender = socket.socketpair()
--- a/tests/support/endpoints.py
+++ b/tests/support/endpoints.py
@@ -17,7 +17,7 @@
 
 
 def ready_endpoints(backend_ids: range, cells: int = 5) -> list[Endpoint]:
-    """Return backends that have been ready for long, spread evenly over a number of cells."""
+    """Return backends that have long been ready, spread evenly over `cells` cells."""
     return [create_endpoint(backend_id, cell=backend_id % cells) for backend_id in backend_ids]
 
 
--- a/tests/support/event_loop.py
+++ b/tests/support/event_loop.py
@@ -25,7 +25,7 @@
 
 
 def runs_in_loop(test: Callable[P, Awaitable[None]]) -> Callable[P, None]:
-    """Decorate an asynchronous test to run in `run_in_loop`, within its default time limit."""
+    """Decorate an asynchronous test so that it runs in `run_in_loop`, with the default timeout."""
 
     @functools.wraps(test)
     def run(*args: P.args, **kwargs: P.kwargs) -> None:
@@ -35,6 +35,6 @@
 
 
 async def wait_until(condition: Callable[[], object]) -> None:
-    """Poll a condition that other tasks fulfil; only the test's time limit bounds the wait."""
+    """Poll a condition that other tasks fulfil; only the test's timeout limits the wait."""
     while not condition():
         await asyncio.sleep(POLL_INTERVAL_S)
--- a/tests/support/fake_services.py
+++ b/tests/support/fake_services.py
@@ -88,7 +88,7 @@
         """Number of connections that the gateway closed."""
 
     async def serve(self, _command: list[bytes]) -> ScriptedReply:
-        """Return a reply with a value, without usage figures and load report."""
+        """Return a reply with a value, but without usage figures and a load report."""
         return b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 
     async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -104,14 +104,14 @@
 
 
 class FakeCounter(FakeServer):
-    """Keeps totals by name; responds with the new total, or with what `script` returns if there is one."""
+    """Keeps totals by name; responds with the new total, or with what `script` returns if it is set."""
 
     def __init__(self, script: Script | None = None) -> None:
         super().__init__()
         self.script = script
         self.totals: dict[bytes, float] = {}
         self.received: list[list[bytes]] = []
-        """The fields of the calls received, in order: command, name, amount and time to live."""
+        """The calls received, in order, each as its fields: command, name, amount, time to live in ms."""
 
     async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while line := await reader.readline():
@@ -131,7 +131,7 @@
 
 
 class FakeDiscovery(FakeServer):
-    """Responds to calls for a snapshot with `snapshot`; keeps watches open for lines that a test sends."""
+    """Responds to snapshot calls with `snapshot`; keeps watches open, and a test sends lines on them."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -154,7 +154,7 @@
         await reader.read()
 
     def send_line(self, line: bytes, watch: int = -1) -> None:
-        """Send a line on the watch with this index in `watches`, by default the newest."""
+        """Send a line on one of the `watches`, by default the newest."""
         self.watches[watch].write(b"%x\r\n%b\n\r\n" % (len(line) + 1, line))
 
     def send_update(self, version: int, *entries: dict[str, Any], is_snapshot: bool = False) -> None:
@@ -178,12 +178,12 @@
 
 
 def endpoint_list_message(version: int, *entries: dict[str, Any], is_snapshot: bool = True) -> dict[str, Any]:
-    """Return a snapshot or a delta of the endpoint list in the form in which discovery sends it."""
+    """Return a snapshot or a delta of the endpoint list, as discovery sends it."""
     return {"seq": version, "whole": is_snapshot, "hosts": list(entries)}
 
 
 def endpoint_entry(name: str, port: int, health: str = "up", born_ms: float = 0) -> dict[str, Any]:
-    """Return an entry of the endpoint list in the form in which discovery sends it."""
+    """Return an entry of the endpoint list, as discovery sends it."""
     return {
         "host": name,
         "dial": f"{LOCAL}:{port}",
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -1,4 +1,4 @@
-"""Simulates a fleet of policies in virtual time, with its clients, counter and backends.
+"""Simulates the policies of a fleet of gateways in virtual time, with clients, counter and backends.
 
 No real time passes: events are handled in the order of their virtual times. All random draws come from one
 seed.
@@ -62,7 +62,7 @@
 
 
 class CountKey(NamedTuple):
-    """An event, and the plan of the customer that it concerns; the plan is empty if it concerns none."""
+    """An event, and the customer's plan; the plan is empty for events that are not counted by plan."""
 
     event: FleetEvent
     plan: str = ""
@@ -74,13 +74,13 @@
 
     customer: Customer
     client_attempt: int
-    """1 for a request that is no retry; each retry by the client adds 1."""
+    """1 for the first attempt of the client, 2 for its first retry, and so on."""
     attempt_count: int = 0
     """Number of attempts that the gateway has started for the request."""
 
 
 def exponential_latency(mean_ms: float) -> Callable[[random.Random, int], float]:
-    """Return a function that draws the latency of any backend from an exponential distribution."""
+    """Return a function that draws latencies from one exponential distribution for all backends."""
     return lambda rng, _backend_id: rng.expovariate(1 / mean_ms)
 
 
@@ -107,7 +107,7 @@
 
 
 class Fleet:
-    """Delivers events to many gateways and carries out their actions; `counts` are over all gateways."""
+    """Delivers events to many gateways and carries out their actions; `counts` covers all gateways."""
 
     def __init__(
         self,
@@ -154,12 +154,12 @@
         return self.scheduler.now
 
     def run(self, seconds: float) -> Counter[CountKey]:
-        """Run for some virtual time; return the counts since the start of the fleet."""
+        """Run for `seconds` of virtual time; return the counts since the start of the fleet."""
         self.scheduler.advance(seconds * MS_PER_S)
         return self.counts
 
     def stall(self, seconds: float) -> None:
-        """Let virtual time pass without handling any event; those due in that time are handled late."""
+        """Let virtual time pass without handling events; events that fall due meanwhile are handled late."""
         self.scheduler.stall(seconds * MS_PER_S)
 
     def count(self, event: FleetEvent, plan: str = "") -> None:
@@ -167,17 +167,17 @@
         self.counts[CountKey(event, plan)] += 1
 
     def schedule_next_request(self, customer: Customer, rate: float) -> None:
-        """Draw the time of a customer's next request; `rate` is the mean number of requests per second."""
+        """Schedule a customer's next request after a random delay; `rate` is in requests per second."""
         delay_ms = self.rng.expovariate(rate) * MS_PER_S
         self.scheduler.schedule(delay_ms, lambda: self.send_new_request(customer))
 
     def send_new_request(self, customer: Customer) -> None:
-        """Send a request that is no retry, and schedule the customer's next one."""
+        """Send a request that is not a retry, and schedule the customer's next one."""
         self.schedule_next_request(customer, customer.rate)
         self.send_request(customer)
 
     def send_request(self, customer: Customer, client_attempt: int = 1) -> None:
-        """Deliver a request to one of the customer's gateways, drawn by their weights."""
+        """Send a request to one of the customer's gateways, chosen at random by weight."""
         request_id = f"r{next(self._request_numbers)}"
         (index,) = self.rng.choices(customer.gateways, customer.weights)
         self.requests[request_id] = FleetRequest(customer, client_attempt)
@@ -217,7 +217,7 @@
                 self.finish_without_result(request_id, 0.0)
 
     def start_attempt(self, index: int, request_id: str, backend_id: int) -> None:
-        """Start an attempt, which ends with a success after a drawn latency."""
+        """Start an attempt, which succeeds after a random latency."""
         request = self.requests[request_id]
         attempt_number = request.attempt_count
         request.attempt_count += 1
--- a/tests/support/fleet_customers.py
+++ b/tests/support/fleet_customers.py
@@ -1,4 +1,4 @@
-"""The customers of a simulated fleet, and reference token buckets of their quotas."""
+"""The customers of a simulated fleet, and reference token buckets for their quotas."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass
 class Customer:
-    """A customer, its rate of requests and the gateways that it sends them to."""
+    """A customer with its plan, its request rate and the gateways that it uses."""
 
     name: str
     plan: Plan
@@ -21,7 +21,7 @@
     gateways: list[int]
     """Indexes of the customer's gateways."""
     weights: list[float] = field(default_factory=list)
-    """Relative frequencies of the gateways; by default 1/n for the n-th gateway, counted from 1."""
+    """Relative request rates of the gateways; by default 1/n for the n-th gateway, counted from 1."""
 
     def __post_init__(self) -> None:
         """Set the default weights unless weights are given."""
@@ -30,7 +30,7 @@
 
 @dataclass
 class ReferenceQuota:
-    """The token bucket that a customer's contract describes: requests beyond the quota take no token."""
+    """The token bucket that a customer's plan describes; requests beyond the quota take no token."""
 
     plan: Plan
     tokens: float
@@ -38,11 +38,11 @@
 
     @classmethod
     def full(cls, plan: Plan, now: float) -> ReferenceQuota:
-        """Return a quota whose burst is fully available."""
+        """Return a quota whose token bucket is full."""
         return cls(plan, plan.burst, now)
 
     def take(self, now: float) -> bool:
-        """Take one token if there is one; return whether there was."""
+        """Take a token if one is available; return whether it was."""
         is_available = self.has_token(now)
         if is_available:
             self.tokens -= 1
@@ -53,7 +53,7 @@
         return self.refill(now) >= 1
 
     def refill(self, now: float) -> float:
-        """Add the tokens earned since the last refill; return the tokens held, infinite without a quota."""
+        """Add the tokens earned since the last refill; return the token count, infinite without a quota."""
         if not self.plan.rate:
             return math.inf
         earned = (now - self.refilled_at) / MS_PER_S * self.plan.rate
--- a/tests/support/gateway_harness.py
+++ b/tests/support/gateway_harness.py
@@ -23,7 +23,7 @@
 from tests.support.resp_peer import LOCAL, RespPeer
 
 QUICK_SHUTDOWN = ShutdownSchedule(keep_serving_s=0.01, fail_requests_s=3.4)
-"""Nothing in front of the gateway sends further connections in tests, so it need not keep serving."""
+"""In tests, clients need no time to move to another gateway, so this one need not keep serving."""
 
 SETTINGS: dict[str, Any] = {
     "az": "a",
@@ -55,7 +55,7 @@
 class GatewayHarness:
     """A gateway and the fakes that it uses; `backends` are named h0, h1, ... in the endpoint list.
 
-    `limits` are entries of the configuration's "limits", by their keys.
+    `limits` replace or add entries of "limits" in the configuration.
     """
 
     def __init__(self, *backends: FakeBackend, counter: FakeCounter | None = None, **limits: Any) -> None:
@@ -103,7 +103,7 @@
 
 
 async def wait_until_ready(gateway: asyncio.Task[None], ready: asyncio.Future[int]) -> int:
-    """Return the port of a gateway once it has started; raise the exception of a start that failed."""
+    """Return the port of a gateway once it has started; if the start fails, raise its exception."""
     waited_for: set[asyncio.Future[Any]] = {gateway, ready}
     await asyncio.wait(waited_for, return_when=asyncio.FIRST_COMPLETED)
     if gateway.done():
--- a/tests/support/gateway_process.py
+++ b/tests/support/gateway_process.py
@@ -35,14 +35,14 @@
 
 
 async def end_process(process: asyncio.subprocess.Process) -> None:
-    """Kill a process that has not ended by itself, and wait for its end."""
+    """Kill the process unless it has ended by itself, and wait for its end."""
     if process.returncode is None:
         process.kill()
     await process.wait()
 
 
 async def connect_when_listening(port: int) -> RespPeer:
-    """Connect a client as soon as the gateway listens; until then, connections are refused."""
+    """Connect a client; retry while connections are refused because the gateway does not listen yet."""
     while True:
         try:
             return RespPeer(*await asyncio.open_connection(LOCAL, port))
@@ -51,9 +51,9 @@
 
 
 def reserve_port() -> socket.socket:
-    """Return a socket that reserves its port while it is open; a server may listen on that port.
+    """Return a socket that reserves its port until it is closed; meanwhile, a server can listen on the port.
 
-    A port that is only free, not reserved, may be assigned to any other process before the server listens.
+    A free port that is not reserved could be assigned to another process before the server listens.
     """
     reservation = socket.socket()
     reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -82,7 +82,7 @@
     command: Sequence[str] = GATEWAY_COMMAND,
     stderr: int | IO[bytes] = asyncio.subprocess.PIPE,
 ) -> AsyncIterator[GatewayProcess]:
-    """Run a gateway process; the servers of the harness and the other servers run as long as it does."""
+    """Run a gateway process, the servers of the harness and the other servers until the end of the block."""
     with reserve_port() as reservation:
         async with running_servers(*harness.servers, *other_servers):
             port = port_of(reservation)
--- a/tests/support/invalid_configurations.py
+++ b/tests/support/invalid_configurations.py
@@ -14,4 +14,7 @@
     "nested too deeply": "[" * 100_000,
     "not UTF-8": "\udcff",
 }
-"""Contents of the files by the fault in them; write them with `errors="surrogateescape"`."""
+"""Contents of the files, by their faults.
+
+Write them with `errors="surrogateescape"`, which turns the lone surrogate into a byte that is not UTF-8.
+"""
--- a/tests/support/manual_server.py
+++ b/tests/support/manual_server.py
@@ -31,23 +31,23 @@
         return connection
 
     async def accept(self) -> socket.socket:
-        """Accept a connection; nothing is read from it."""
+        """Accept a connection without reading from it."""
         connection, _ = await asyncio.get_running_loop().sock_accept(self.listener)
         return connection
 
     def close(self) -> None:
-        """Accept no further connection."""
+        """Stop listening."""
         self.listener.close()
 
 
 def reset(connection: socket.socket) -> None:
-    """Close a connection with a reset."""
+    """Close a connection with a TCP reset."""
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     connection.close()
 
 
 class FullAcceptQueue(NamedTuple):
-    """A listening socket that establishes connections late, and the clients that fill its accept queue."""
+    """A listening socket that delays new connections, and the clients that fill its accept queue."""
 
     listener: socket.socket
     queued_clients: list[socket.socket]
@@ -55,7 +55,7 @@
 
 @contextlib.contextmanager
 def full_accept_queue() -> Iterator[FullAcceptQueue]:
-    """Open a listening socket whose accept queue is full until the queued clients are closed and accepted."""
+    """Open a listening socket with a full accept queue; to empty it, close and accept its clients."""
     with contextlib.ExitStack() as stack:
         listener = stack.enter_context(socket.create_server((LOCAL, 0), backlog=0))
         queued_clients = [stack.enter_context(socket.socket()) for _ in range(3)]
--- a/tests/support/policy_harness.py
+++ b/tests/support/policy_harness.py
@@ -60,7 +60,7 @@
     def without_quotas(
         cls, endpoints: Iterable[Endpoint] = DEFAULT_ENDPOINTS, seed: int = 1, **changes: Any
     ) -> Self:
-        """Return a harness whose requests have no quota, so that only the backends and the load matter."""
+        """Return a harness without quotas and counter, so that only the backends and the load matter."""
         return cls(endpoints, seed, plans=(UNLIMITED,), counter_available=False, **changes)
 
     @property
@@ -147,7 +147,7 @@
         return [action for _, action in self.timed_actions[first_new:]]
 
     def stall(self, milliseconds: float) -> None:
-        """Let virtual time pass without firing any timer; those due in that time fire late."""
+        """Let virtual time pass without firing timers; timers that fall due meanwhile fire late."""
         self.scheduler.stall(milliseconds)
 
     def last_attempt_number(self, request_id: str) -> int:
@@ -168,7 +168,7 @@
         self.policy.retries.budget = 0.0
 
     def set_response_rate(self, responses_per_s: float) -> None:
-        """Set the policy's response rate, as if it had measured it just now."""
+        """Set the policy's response rate, as if the policy had just measured it."""
         self.policy.stats.response_rate = responses_per_s
         self.policy.stats.rate_updated_at = self.now
 
@@ -206,7 +206,7 @@
 
 
 def backends_used(harness: PolicyHarness, request_count: int) -> set[int]:
-    """Serve requests one after another; return the ids of the backends of their attempts."""
+    """Serve requests one after another; return the ids of the backends used."""
     used = set()
     for _ in range(request_count):
         attempt = only_attempt_in(harness.request())
--- a/tests/support/policy_settings.py
+++ b/tests/support/policy_settings.py
@@ -31,7 +31,7 @@
 WITH_OVER_QUOTA_REVENUE = Plan("bonus", rate=1, burst=2, over_quota_revenue=0.2)
 """A plan whose requests beyond the quota earn revenue and have no cost."""
 UNLIMITED = Plan("basic")
-"""A plan without a quota; it has the name of `BASIC`, the plan that requests name by default."""
+"""A plan without a quota; it has the name of `BASIC`, the default plan of requests, and replaces it."""
 
 SAFETY_RULES = SafetyRules(
     drain_grace_ms=1000, initial_capacity=0.2, slow_start_ms=10_000, overload_multiple=2
--- a/tests/support/reference_subset.py
+++ b/tests/support/reference_subset.py
@@ -11,11 +11,11 @@
 from tests.support.endpoints import READY, REMOVED
 
 FLEET_GATEWAY_COUNT = 3_700
-"""Number of gateways of the fleet in tests with long endpoint lists."""
+"""Number of gateways in tests with long endpoint lists."""
 
 
 class ReferenceSubset:
-    """One gateway's subset of the endpoint list; sorts and hashes all ready backends at every read."""
+    """One gateway's subset of the endpoint list; hashes and sorts all ready backends at every read."""
 
     def __init__(self, gateway_index: int, gateway_count: int) -> None:
         self.gateway_index = gateway_index
@@ -23,7 +23,7 @@
         self.listed: dict[int, Endpoint] = {}
 
     def apply(self, kind: UpdateKind, endpoints: Iterable[Endpoint]) -> None:
-        """Apply a complete update; an update that is no delta drops the backends that it omits."""
+        """Apply a complete update; unless it is a delta, remove the backends that it omits."""
         endpoints = list(endpoints)
         if kind is not UpdateKind.DELTA:
             listed_ids = {endpoint.backend_id for endpoint in endpoints}
@@ -43,7 +43,7 @@
         return [endpoint.backend_id for endpoint in self.listed.values() if endpoint.state is READY]
 
     def backend_ids(self) -> list[int]:
-        """Return the ids of the backends in this gateway's window, in the order of its round."""
+        """Return the ids of the gateway's subset: its window of its round's permutation, in order."""
         ready_ids = self.ready_ids()
         ready_count = len(ready_ids)
         min_size = max(MIN_SUBSET_SIZE, MIN_GATEWAYS_PER_BACKEND * ready_count / max(1, self.gateway_count))
--- a/tests/support/replies.py
+++ b/tests/support/replies.py
@@ -6,7 +6,7 @@
 
 
 def served_reply(value: bytes) -> bytes:
-    """Return a backend's reply with a value, without usage figures and load report."""
+    """Return a backend's reply with a value, but without usage figures and a load report."""
     return b"*3\r\n$%d\r\n%b\r\n$-1\r\n$-1\r\n" % (len(value), value)
 
 
--- a/tests/support/request_commands.py
+++ b/tests/support/request_commands.py
@@ -19,7 +19,7 @@
     idempotency_key: bytes | None = None,
     command: bytes | None = None,
 ) -> tuple[bytes, ...]:
-    """Return the arguments of a request command, by default of an idempotent class without a quota."""
+    """Return the arguments of a request command; by default, its class is idempotent and no quota applies."""
     key_attribute = b"" if idempotency_key is None else b",k=" + idempotency_key
     attributes = b"c=%b,t=%b,d=%d%b,units=1,spread=%d,first=0" % (
         request_class,
--- a/tests/support/simulated_counter.py
+++ b/tests/support/simulated_counter.py
@@ -1,4 +1,4 @@
-"""Simulates the counter in virtual time; it handles one call after another."""
+"""Simulates the counter, which handles one call at a time, in virtual time."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class CounterResult(NamedTuple):
-    """The result of a call as its gateway gets it; `latency_ms` starts when the call reaches the counter."""
+    """The result of a call as its gateway gets it; `latency_ms` counts from the arrival at the counter."""
 
     outcome: Outcome
     total: float
@@ -17,7 +17,7 @@
 
 
 class SimulatedCounter:
-    """Keeps totals by name; a call that its gateway no longer waits for is handled too and delays others."""
+    """Keeps totals by name; calls that have timed out at their gateways are handled too and delay others."""
 
     def __init__(
         self, *, calls_per_s: float, queue_length: int, timeout_ms: float, one_way_latency_ms: float
--- a/tests/support/slow_start_fleet.py
+++ b/tests/support/slow_start_fleet.py
@@ -1,4 +1,4 @@
-"""Simulates a fleet some of whose backends restart together, and records the attempts that those receive.
+"""Simulates a fleet in which some backends restart together, and records the attempts sent to these.
 
 The fleet runs in virtual time. A backend processes a queue of requests, fails at once or hangs; the work of a
 request is the same in all of its attempts.
@@ -41,7 +41,7 @@
 
 
 def mean_work(_: random.Random) -> float:
-    """Return the same work for every request."""
+    """Return the mean work for every request."""
     return 1.0
 
 
@@ -53,32 +53,32 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """The size of a fleet some of whose backends restart together, its load and its slow start settings."""
+    """The size, load and slow start settings of a fleet in which some backends restart together."""
 
     gateway_count: int
     backend_count: int
     restarted_count: int
-    """Number of backends that restart together; they are the last of the list."""
+    """Number of backends that restart together, the last in the list."""
     faulty_count: int
-    """Number of backends that are faulty, the first of the list; half of them hang, half fail at once."""
+    """Number of faulty backends, the first in the list; half of them hang, half fail requests at once."""
     capacity: float = 11.0
     """Number of requests of mean work that a warm backend processes per second."""
     load: float = 0.85
     """Requested work, as a fraction of the capacity of all backends when they are warm."""
     burst_factor: float = 1.5
-    """Factor by which the load is higher in every third second."""
+    """Factor by which the load is multiplied in every third second."""
     initial_capacity: float = 0.18
     slow_start_ms: float = 5_000.0
     overload_multiple: float = 4.0
     window_ms: float = 1_000.0
 
     def slow_start_fraction(self, age_ms: float) -> float:
-        """Return the fraction of its capacity that a backend of an age has."""
+        """Return the fraction of its capacity that a backend has at this age."""
         gained = (1 - self.initial_capacity) * max(0.0, age_ms) / self.slow_start_ms
         return min(1.0, self.initial_capacity + gained)
 
     def work_budget(self, age_ms: float) -> float:
-        """Return the work that a backend may receive in a time window that begins at an age of the backend.
+        """Return the maximum work that a backend may receive in a time window that begins at this age.
 
         The settings allow N requests of mean work; 2 * sqrt(N) + 2 are added for random variation.
         """
@@ -117,20 +117,20 @@
 
 
 class BackendQueue:
-    """The requests that a backend processes, and those that wait at the backend."""
+    """The requests that a backend is processing, and those that wait at the backend."""
 
     def __init__(self, now: float = 0.0) -> None:
         self._slots_free_at = [now] * CONCURRENCY
         self._waiting_until: deque[float] = deque()
 
     def is_full(self, now: float) -> bool:
-        """Return whether the queue has no place for a further request."""
+        """Return whether `QUEUE_LENGTH` requests are waiting."""
         while self._waiting_until and self._waiting_until[0] <= now:
             self._waiting_until.popleft()
         return len(self._waiting_until) >= QUEUE_LENGTH
 
     def add(self, now: float, work_ms: float) -> float:
-        """Add a request that occupies one slot for `work_ms`; return the time of its end."""
+        """Add a request that occupies one slot for `work_ms`; return the time at which it ends."""
         begins_at = max(now, heapq.heappop(self._slots_free_at))
         ends_at = begins_at + work_ms
         heapq.heappush(self._slots_free_at, ends_at)
@@ -139,7 +139,7 @@
 
 
 class SlowStartFleet(Fleet):
-    """Runs a scenario; cancelled attempts end at once, and hedged attempts run beside the first attempt."""
+    """Runs a scenario; cancelled attempts end at once, and hedged attempts run in parallel with the first."""
 
     def __init__(self, scenario: Scenario, seed: int, draw_work: DrawWork) -> None:
         self.scenario = scenario
@@ -175,7 +175,7 @@
         )
 
     def _create_customers(self, seed: int) -> list[Customer]:
-        """Return customers of equal rates; each sends most of its requests to few gateways."""
+        """Return customers with equal rates; each sends most of its requests to a few gateways."""
         scenario = self.scenario
         rng = random.Random(f"callers {seed}")
         fleet_rate = scenario.load * scenario.capacity * scenario.backend_count
@@ -214,7 +214,7 @@
         self.send_request(customer)
 
     def carry_out(self, index: int, action: Action) -> None:
-        """End a cancelled attempt; carry out all other actions as in any fleet."""
+        """End a cancelled attempt; carry out all other actions as `Fleet` does."""
         if isinstance(action, CancelAttempt):
             key = AttemptKey(action.request_id, action.attempt_number)
             self.scheduler.schedule(0.0, lambda: self._end_attempt(key, Outcome.CANCELLED))
@@ -222,7 +222,7 @@
         super().carry_out(index, action)
 
     def start_attempt(self, index: int, request_id: str, backend_id: int) -> None:
-        """Add the attempt to its backend's queue."""
+        """Start an attempt on its backend; count it if it is a hedged request or a retry."""
         request = self.requests[request_id]
         number = request.attempt_count
         request.attempt_count += 1
@@ -236,7 +236,7 @@
         self.scheduler.schedule(latency_ms, lambda: self._end_attempt(key, outcome))
 
     def finish_without_result(self, request_id: str, retry_after_ms: float) -> None:
-        """Mark a rejected or failed request as finished, also for its attempts that have not ended."""
+        """Mark a rejected or failed request as finished; its open attempts report this when they end."""
         self._finished_requests.add(request_id)
         super().finish_without_result(request_id, retry_after_ms)
 
--- a/tests/support/watch_harness.py
+++ b/tests/support/watch_harness.py
@@ -18,11 +18,11 @@
 from tests.support.fake_services import FakeDiscovery
 
 LIST_TARGET = "/catalog/members"
-"""Request target of a call for a snapshot."""
+"""Request target of a snapshot call."""
 
 
 def watch_target(version: int) -> str:
-    """Return the request target of a watch that starts at a version of the endpoint list."""
+    """Return the request target of a watch for changes after this version of the endpoint list."""
     return f"{LIST_TARGET}?stream=1&index={version}"
 
 
@@ -93,11 +93,11 @@
         await self.discovery.stop()
 
     async def wait_for_watches(self, count: int) -> None:
-        """Wait until discovery has accepted at least `count` watches since its start."""
+        """Wait until discovery has accepted at least `count` watches in total."""
         await wait_until(lambda: len(self.discovery.watches) >= count)
 
     async def wait_for_updates(self, count: int) -> None:
-        """Wait until the watcher has delivered at least `count` parts of updates since its start."""
+        """Wait until the watcher has delivered at least `count` parts of updates in total."""
         await wait_until(lambda: len(self.updates) >= count)
 
 
--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -28,7 +28,7 @@
 
     names: set[str] = field(default_factory=set)
     members: defaultdict[str, set[str]] = field(default_factory=lambda: defaultdict(set))
-    """The names that each class contains, including its direct bases but not their members."""
+    """The names in each class's definition, including its direct bases but not their members."""
     texts: set[str] = field(default_factory=set)
 
     def add(self, tree: ast.AST) -> None:
