--- a/tests/support/event_loop.py
+++ b/tests/support/event_loop.py
@@ -17,11 +17,11 @@
 def run_in_loop(scenario: Callable[[], Awaitable[None]], timeout_s: float = 20) -> None:
     """Run a scenario in an event loop of its own, for at most `timeout_s` seconds."""
 
-    async def limited() -> None:
+    async def run_with_timeout() -> None:
         async with asyncio.timeout(timeout_s):
             await scenario()
 
-    uvloop.run(limited())
+    uvloop.run(run_with_timeout())
 
 
 def runs_in_loop(test: Callable[P, Awaitable[None]]) -> Callable[P, None]:
--- a/tests/support/fake_services.py
+++ b/tests/support/fake_services.py
@@ -153,9 +153,9 @@
         self.watches.append(writer)
         await reader.read()
 
-    def send_line(self, line: bytes, watch: int = -1) -> None:
+    def send_line(self, line: bytes, watch_index: int = -1) -> None:
         """Send a line on one of the `watches`, by default the newest."""
-        self.watches[watch].write(b"%x\r\n%b\n\r\n" % (len(line) + 1, line))
+        self.watches[watch_index].write(b"%x\r\n%b\n\r\n" % (len(line) + 1, line))
 
     def send_update(self, version: int, *entries: dict[str, Any], is_snapshot: bool = False) -> None:
         """Send a delta, or a snapshot if `is_snapshot` is set, on the newest watch."""
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -133,8 +133,8 @@
         self.requests: dict[str, FleetRequest] = {}
         self._request_numbers = itertools.count(1)
         self.gateways = self._create_gateways(gateway_count, settings_changes)
-        for index in range(gateway_count):
-            self.deliver(index, EndpointUpdate(UpdateKind.SNAPSHOT, self.conditions.backends))
+        for gateway_index in range(gateway_count):
+            self.deliver(gateway_index, EndpointUpdate(UpdateKind.SNAPSHOT, self.conditions.backends))
         for customer in self.customers:
             self.schedule_next_request(customer, customer.rate)
 
@@ -142,10 +142,10 @@
         plans = tuple({customer.plan.name: customer.plan for customer in self.customers}.values())
         return [
             GatewayPolicy(
-                settings(plans=plans, gateway_count=count, gateway_index=index, **settings_changes),
-                1000 * self.conditions.seed + index,
+                settings(plans=plans, gateway_count=count, gateway_index=gateway_index, **settings_changes),
+                1000 * self.conditions.seed + gateway_index,
             )
-            for index in range(count)
+            for gateway_index in range(count)
         ]
 
     @property
@@ -179,7 +179,7 @@
     def send_request(self, customer: Customer, client_attempt: int = 1) -> None:
         """Send a request to one of the customer's gateways, chosen at random by weight."""
         request_id = f"r{next(self._request_numbers)}"
-        (index,) = self.rng.choices(customer.gateways, customer.weights)
+        (gateway_index,) = self.rng.choices(customer.gateways, customer.weights)
         self.requests[request_id] = FleetRequest(customer, client_attempt)
         self.count(FleetEvent.REQUESTED, customer.plan.name)
         event = RequestArrived(
@@ -193,30 +193,30 @@
             gateway_set_start=customer.gateways[0],
             is_retry=client_attempt > 1,
         )
-        self.deliver(index, event)
+        self.deliver(gateway_index, event)
 
-    def deliver(self, index: int, event: Event) -> None:
+    def deliver(self, gateway_index: int, event: Event) -> None:
         """Let a gateway handle an event, and carry out the actions that it returns."""
-        for action in self.gateways[index].handle(self.now, event):
-            self.carry_out(index, action)
+        for action in self.gateways[gateway_index].handle(self.now, event):
+            self.carry_out(gateway_index, action)
 
-    def carry_out(self, index: int, action: Action) -> None:
+    def carry_out(self, gateway_index: int, action: Action) -> None:
         """Carry out one action of a gateway."""
         match action:
             case SetTimer(delay_ms, token):
-                self.scheduler.schedule(delay_ms, lambda: self.deliver(index, TimerFired(token)))
+                self.scheduler.schedule(delay_ms, lambda: self.deliver(gateway_index, TimerFired(token)))
             case IncrementCounter():
                 self.scheduler.schedule(
-                    COUNTER_ONE_WAY_LATENCY_MS, lambda: self._increment_counter(index, action)
+                    COUNTER_ONE_WAY_LATENCY_MS, lambda: self._increment_counter(gateway_index, action)
                 )
             case StartAttempt(request_id, backend_id):
-                self.start_attempt(index, request_id, backend_id)
+                self.start_attempt(gateway_index, request_id, backend_id)
             case Reject(request_id, retry_after_ms):
                 self.finish_without_result(request_id, retry_after_ms)
             case Fail(request_id):
                 self.finish_without_result(request_id, 0.0)
 
-    def start_attempt(self, index: int, request_id: str, backend_id: int) -> None:
+    def start_attempt(self, gateway_index: int, request_id: str, backend_id: int) -> None:
         """Start an attempt, which succeeds after a random latency."""
         request = self.requests[request_id]
         attempt_number = request.attempt_count
@@ -232,7 +232,7 @@
             latency_ms=latency_ms,
             request_finished=True,
         )
-        self.scheduler.schedule(latency_ms, lambda: self.deliver(index, ended))
+        self.scheduler.schedule(latency_ms, lambda: self.deliver(gateway_index, ended))
 
     def finish_without_result(self, request_id: str, retry_after_ms: float) -> None:
         """Handle a rejected or failed request: its client retries if it has retries left."""
@@ -254,7 +254,7 @@
         event = FleetEvent.REJECTED_WITHIN_QUOTA if is_within_quota else FleetEvent.REJECTED_BEYOND_QUOTA
         self.count(event, customer.plan.name)
 
-    def _increment_counter(self, index: int, call: IncrementCounter) -> None:
+    def _increment_counter(self, gateway_index: int, call: IncrementCounter) -> None:
         result = self.counter.increment(self.now, call.name, call.amount)
         if result.outcome is Outcome.QUEUE_FULL:
             self.count(FleetEvent.COUNTER_CALL_REJECTED)
@@ -263,4 +263,4 @@
         if result.outcome is Outcome.TIMED_OUT:
             self.count(FleetEvent.COUNTER_CALL_TIMED_OUT)
         response = CounterResponse(call.name, result.outcome, result.total)
-        self.scheduler.schedule(result.latency_ms, lambda: self.deliver(index, response))
+        self.scheduler.schedule(result.latency_ms, lambda: self.deliver(gateway_index, response))
--- a/tests/support/fleet_customers.py
+++ b/tests/support/fleet_customers.py
@@ -25,7 +25,7 @@
 
     def __post_init__(self) -> None:
         """Set the default weights unless weights are given."""
-        self.weights = self.weights or [1 / (place + 1) for place in range(len(self.gateways))]
+        self.weights = self.weights or [1 / (position + 1) for position in range(len(self.gateways))]
 
 
 @dataclass
--- a/tests/support/simulated_counter.py
+++ b/tests/support/simulated_counter.py
@@ -23,7 +23,7 @@
         self, *, calls_per_s: float, queue_length: int, timeout_ms: float, one_way_latency_ms: float
     ) -> None:
         self.totals: dict[str, float] = {}
-        self._call_ms = MS_PER_S / calls_per_s
+        self._ms_per_call = MS_PER_S / calls_per_s
         self._queue_length = queue_length
         self._timeout_ms = timeout_ms
         self._one_way_latency_ms = one_way_latency_ms
@@ -31,9 +31,9 @@
 
     def increment(self, now: float, name: str, amount: float) -> CounterResult:
         """Handle a call that arrives now, or reject it if the queue is full."""
-        if (self._free_at - now) / self._call_ms > self._queue_length:
+        if (self._free_at - now) / self._ms_per_call > self._queue_length:
             return CounterResult(Outcome.QUEUE_FULL, 0.0, self._one_way_latency_ms)
-        self._free_at = max(self._free_at, now) + self._call_ms
+        self._free_at = max(self._free_at, now) + self._ms_per_call
         total = self.totals.get(name, 0.0) + amount
         self.totals[name] = total
         latency_ms = self._free_at - now + self._one_way_latency_ms
--- a/tests/support/slow_start_fleet.py
+++ b/tests/support/slow_start_fleet.py
@@ -29,7 +29,7 @@
 """Maximum number of requests that wait at a backend; it rejects further requests."""
 BACKENDS_PER_CELL = 4
 ROUND_TRIP_MS = 2.0
-FAILURE_MS = 5.0
+FAILURE_LATENCY_MS = 5.0
 """Latency of a response from a backend that fails every request at once."""
 LONG_WORK = 3.0
 """Minimum work of a long request, as a multiple of the mean work."""
@@ -183,7 +183,7 @@
         customers = []
         for number in range(CUSTOMERS_PER_GATEWAY * scenario.gateway_count):
             set_size = rng.randint(2, 12)
-            gateways = [(number + place) % scenario.gateway_count for place in range(set_size)]
+            gateways = [(number + offset) % scenario.gateway_count for offset in range(set_size)]
             rng.shuffle(gateways)
             customers.append(Customer(f"c{number}", FREE, rate, gateways))
         return customers
@@ -202,8 +202,8 @@
             self._queues[backend_id] = BackendQueue(self.now)
         endpoints = tuple(self._endpoint(backend_id, self.now) for backend_id in backend_ids)
         update = EndpointUpdate(UpdateKind.DELTA, endpoints)
-        for index in range(scenario.gateway_count):
-            self.deliver(index, update)
+        for gateway_index in range(scenario.gateway_count):
+            self.deliver(gateway_index, update)
 
     def send_new_request(self, customer: Customer) -> None:
         """Send a request, and schedule the customer's next one; the rate is higher in every third second."""
@@ -213,15 +213,15 @@
         )
         self.send_request(customer)
 
-    def carry_out(self, index: int, action: Action) -> None:
+    def carry_out(self, gateway_index: int, action: Action) -> None:
         """End a cancelled attempt; carry out all other actions as `Fleet` does."""
         if isinstance(action, CancelAttempt):
             key = AttemptKey(action.request_id, action.attempt_number)
             self.scheduler.schedule(0.0, lambda: self._end_attempt(key, Outcome.CANCELLED))
             return
-        super().carry_out(index, action)
+        super().carry_out(gateway_index, action)
 
-    def start_attempt(self, index: int, request_id: str, backend_id: int) -> None:
+    def start_attempt(self, gateway_index: int, request_id: str, backend_id: int) -> None:
         """Start an attempt on its backend; count it if it is a hedged request or a retry."""
         request = self.requests[request_id]
         number = request.attempt_count
@@ -231,7 +231,7 @@
         work = self._work_of(request_id)
         self._record_received(backend_id, work)
         key = AttemptKey(request_id, number)
-        self._open_attempts[key] = OpenAttempt(index, backend_id, self.now)
+        self._open_attempts[key] = OpenAttempt(gateway_index, backend_id, self.now)
         outcome, latency_ms = self._serve(backend_id, work)
         self.scheduler.schedule(latency_ms, lambda: self._end_attempt(key, outcome))
 
@@ -262,7 +262,7 @@
             hangs = backend_id % 2 == 0
             if hangs:
                 return BackendResult(Outcome.TIMED_OUT, IDEMPOTENT.deadline_ms)
-            return BackendResult(Outcome.FAILED, FAILURE_MS)
+            return BackendResult(Outcome.FAILED, FAILURE_LATENCY_MS)
         queue = self._queues[backend_id]
         if queue.is_full(self.now):
             return BackendResult(Outcome.QUEUE_FULL, ROUND_TRIP_MS)
