--- a/gateway/network/backends/attempt.py
+++ b/gateway/network/backends/attempt.py
@@ -52,7 +52,7 @@
         self._timeout_timer = timer
 
     def attach_connection(self, connection: AttemptConnection) -> None:
-        """Record the connection that carries the attempt, and that ends the attempt if it breaks."""
+        """Record the connection that carries the attempt; if the connection breaks, it ends the attempt."""
         self.connection = connection
 
     def end(self, outcome: Outcome, value: bytes = b"") -> None:
--- a/gateway/network/backends/connection.py
+++ b/gateway/network/backends/connection.py
@@ -119,9 +119,8 @@
         self._send_request()
 
     def _send_request(self) -> None:
-        # These times are checked just before the first byte is written. While the connection was being
-        # established, the deadline, the end of the drain grace or the end of the time in which the backend
-        # recognises a retry may have passed.
+        # Checked just before the first byte is written: while the connection was being established, the
+        # deadline may have passed, or the drain grace or the deduplication window may have ended.
         attempt = self.attempt
         assert attempt is not None
         now = now_ms()
--- a/gateway/network/backends/endpoint.py
+++ b/gateway/network/backends/endpoint.py
@@ -11,7 +11,7 @@
 from .attempt import BackendAttempt
 
 REUSE_DELAY_MS = 5.0
-"""Minimum milliseconds between a reply and the reuse of its connection: unsolicited bytes arrive by then."""
+"""Minimum milliseconds between a reply and the reuse of its connection, for unsolicited bytes to arrive."""
 
 
 class PooledConnection(Protocol):
--- a/gateway/network/backends/idle_loss.py
+++ b/gateway/network/backends/idle_loss.py
@@ -15,7 +15,7 @@
 """Successful requests assumed for each range of idle time, so that a first loss does not set the limit."""
 
 MAX_EXCESS_LOSS_RATE = 0.15
-"""Maximum tolerated excess of a loss rate over that of new connections, as a fraction of requests."""
+"""Amount by which a loss rate may exceed that of new connections, as a fraction of requests."""
 
 DECAY_FACTOR = 0.9
 """Factor by which each count decays once a second; as losses fade, longer idle times are allowed again."""
--- a/gateway/network/backends/pool.py
+++ b/gateway/network/backends/pool.py
@@ -125,7 +125,7 @@
         connection.close_and_end_attempt(outcome)
 
     def _max_idle_ms(self) -> float:
-        """Return the idle time, in milliseconds, from which on a connection is not reused."""
+        """Return the idle time, in milliseconds, at which a connection is no longer reused."""
         return min(self.configured_max_idle_ms, self.resources.idle_loss.max_idle_ms)
 
     def _connect(self, endpoint: PooledEndpoint, attempt: BackendAttempt) -> None:
@@ -153,7 +153,7 @@
             min(longest_idle, key=lambda connection: connection.idle_since).close()
 
     def sweep(self) -> None:
-        """Close connections idle for too long, remove unused endpoints and log failures; once a second."""
+        """Close connections idle too long, remove unused endpoints and log failures, now and every second."""
         now = now_ms()
         self.resources.idle_loss.decay()
         self._sweep_endpoints(now)
--- a/gateway/network/backends/reply_reader.py
+++ b/gateway/network/backends/reply_reader.py
@@ -1,4 +1,4 @@
-"""Reads replies of backends, and determines the outcome that a reply means for its attempt."""
+"""Reads replies of backends, and derives the outcomes of attempts from them."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 def known_outcome_of(reply: Reply) -> Outcome | None:
-    """Return the outcome that a reply means; None for an error that the protocol does not define."""
+    """Return an attempt's outcome, given its reply; None for an error that the protocol does not define."""
     if reply.value is not None:
         return Outcome.OK
     known_error = KNOWN_ERROR.fullmatch(reply.error)
--- a/gateway/network/backends/resources.py
+++ b/gateway/network/backends/resources.py
@@ -22,7 +22,10 @@
         """Bytes of incomplete replies, of all connections together."""
 
     def reserve(self, count: int) -> bool:
-        """Reserve `count` bytes, to be released even if the limit is exceeded; return whether it is kept."""
+        """Reserve `count` bytes, and return whether the total is within the limit.
+
+        Bytes beyond the limit are reserved as well, so they must be released, too.
+        """
         self.reserved_bytes += count
         return self.reserved_bytes <= self._limit_bytes
 
--- a/gateway/network/clients/command_reader.py
+++ b/gateway/network/clients/command_reader.py
@@ -138,7 +138,7 @@
         self._parser = CommandParser()
 
     def report_read_ahead(self) -> None:
-        """Report the change in the bytes buffered here to the total of all connections."""
+        """Update the total of all connections by the change in the bytes buffered here."""
         read_ahead_bytes = self._parser.buffered_bytes
         self._memory.change_read_ahead(read_ahead_bytes - self._reported_read_ahead_bytes)
         self._reported_read_ahead_bytes = read_ahead_bytes
--- a/gateway/network/clients/connection.py
+++ b/gateway/network/clients/connection.py
@@ -146,7 +146,7 @@
         self._poll_for_disconnect()
 
     def _poll_for_disconnect(self) -> None:
-        """Close if the client has disconnected after input that the memory limits leave unread."""
+        """Close if the client has disconnected and the memory limits prevent reading up to the disconnect."""
         if not self.is_closed and not self.may_read and self.reader.is_disconnect_pending():
             self.close()
 
--- a/gateway/network/clients/memory.py
+++ b/gateway/network/clients/memory.py
@@ -25,7 +25,7 @@
         self.unsent_bytes -= count
 
     def change_read_ahead(self, change: int) -> None:
-        """Add the change in the bytes that one connection has read ahead since its last report."""
+        """Add `change`, the difference between a connection's bytes read ahead and its last report."""
         self.read_ahead_bytes += change
 
     def is_within_read_ahead_limit(self) -> bool:
--- a/gateway/network/clients/request_attributes.py
+++ b/gateway/network/clients/request_attributes.py
@@ -1,4 +1,4 @@
-"""Names that a request's attributes have on the wire; the constants carry the program's terms for them.
+"""The names of a request's attributes on the wire, as constants named in the gateway's own terms.
 
 A request carries its attributes as one argument, such as `c=view,t=free,d=480,units=1,spread=1,first=0`.
 """
@@ -18,7 +18,7 @@
 """Attribute: name of the customer's plan."""
 
 REMAINING_MS = b"d"
-"""Attribute: remaining time until the deadline, in milliseconds; the only one that changes in forwarding."""
+"""Attribute: remaining time until the deadline, in milliseconds; the only one that forwarding changes."""
 
 IDEMPOTENCY_KEY = b"k"
 """Attribute: idempotency key, which is required for the classes that are idempotent only with a key."""
--- a/gateway/network/codecs/resp_commands.py
+++ b/gateway/network/codecs/resp_commands.py
@@ -35,7 +35,7 @@
 """Patterns of input that may still become a header, by the pattern of that header."""
 
 MAX_HEADER_BYTES = 10
-"""Number of bytes that are checked of an incomplete header: more than the longest header has, so that a line
+"""Number of bytes of an incomplete header that are checked: more than the longest header has, so that a line
 that never ends is rejected early."""
 
 UNKNOWN_LENGTH = -1
--- a/gateway/network/counter/channel.py
+++ b/gateway/network/counter/channel.py
@@ -19,7 +19,8 @@
 class CounterChannel:
     """Writes calls to one connection, so that the responses for a name arrive in the order of its calls.
 
-    The connection is opened when a call needs it. Calls from one turn of the event loop are written together.
+    The connection is opened when a call needs it. Calls from one iteration of the event loop are
+    written together.
     """
 
     def __init__(
@@ -38,7 +39,7 @@
         self.draining_connections: set[CounterConnection] = set()
         """Connections to earlier addresses that stay open until their calls have been answered."""
         self.unwritten_calls: list[CounterCall] = []
-        """Calls that wait for a connection, or for the end of this turn of the event loop."""
+        """Calls that wait for a connection, or for the next iteration of the event loop."""
         self.connect_task: asyncio.Task[None] | None = None
         self.is_flush_scheduled = False
         self._loop = loop
@@ -46,7 +47,7 @@
         self._on_connection_failed = on_connection_failed
 
     def enqueue(self, call: CounterCall) -> None:
-        """Queue a call; it is written at the end of this turn of the event loop, or once connected."""
+        """Queue a call; it is written in the next iteration of the event loop, or once connected."""
         self.unwritten_calls.append(call)
         if not self.is_flush_scheduled:
             self.is_flush_scheduled = True
--- a/gateway/network/discovery/backoff.py
+++ b/gateway/network/discovery/backoff.py
@@ -3,7 +3,7 @@
 A fleet that retries at a fixed interval would prolong the overload. Delays therefore double after each
 rejection, start in proportion to the size of the fleet and have jitter: the call rate of the whole fleet
 falls until the service recovers. Delays are capped, because even a gateway that backs off is expected to know
-a change `NOTIFICATION_BOUND_S` after the service has received it.
+a change of the endpoint list `NOTIFICATION_BOUND_S` after the service has received it.
 """
 
 from __future__ import annotations
@@ -11,7 +11,8 @@
 import random
 
 NOTIFICATION_BOUND_S = 6.0
-"""Time, in seconds, after which a gateway is expected to know a change, even if calls to discovery failed."""
+"""Time, in seconds, after which a gateway is expected to know a change of the endpoint list, even if calls to
+discovery failed."""
 
 MAX_DELAY_S = 2.5
 """Maximum delay, in seconds: two delays and the responses after them fit into `NOTIFICATION_BOUND_S`."""
--- a/gateway/network/discovery/delivery.py
+++ b/gateway/network/discovery/delivery.py
@@ -15,7 +15,7 @@
 from .endpoint_list import EndpointListMessage, ListedEndpoint
 
 ENDPOINTS_PER_TURN = 64
-"""Budget of work per turn of the event loop, in endpoints parsed and delivered."""
+"""Budget of work per iteration of the event loop, in endpoints parsed and delivered."""
 
 MESSAGE_COST = 4
 """Cost of a message in addition to its endpoints; the unit is the cost of one endpoint."""
@@ -41,7 +41,7 @@
 
 
 class EndpointDelivery:
-    """Parses messages and delivers them in parts; all messages share one budget of work per turn."""
+    """Parses messages and delivers them in parts; all messages share one budget of work."""
 
     def __init__(self, on_update: EndpointListener) -> None:
         self._on_update = on_update
@@ -69,7 +69,7 @@
         return DeliveredUpdate(version, message.is_snapshot)
 
     async def _charge(self, cost: int) -> None:
-        """Add `cost`, in endpoints, to this turn's work; once the budget is used up, let other tasks run."""
+        """Add `cost`, in endpoints, to the work since other tasks last ran; at the limit, let them run."""
         self._cost_this_turn += cost
         if self._cost_this_turn >= ENDPOINTS_PER_TURN:
             self._cost_this_turn = 0
--- a/gateway/network/discovery/reopening.py
+++ b/gateway/network/discovery/reopening.py
@@ -65,7 +65,7 @@
             result: how it ended.
             now: the time at which it ended.
             snapshot_delivered: whether the call requested a snapshot and delivered it.
-            has_unanswered_calls: whether other calls are open and unanswered. Polled calls still wait in
+            has_unanswered_calls: whether other calls are open and unanswered. With polling, these wait in
                 discovery's queue, so the next call stays due at the time set when the last one was opened.
         """
         if call.is_answered:
--- a/gateway/network/dispatcher/attempts.py
+++ b/gateway/network/dispatcher/attempts.py
@@ -86,7 +86,7 @@
         self._backends.start(attempt)
 
     def _report_not_started(self, action: StartAttempt, open_request: OpenRequest | None) -> None:
-        """Report that an attempt was not started, under the number by which the policy counts it."""
+        """Report an attempt that was not started, under the number by which the policy knows it."""
         number = 0
         if open_request is not None:
             number = open_request.attempts_started
@@ -126,7 +126,7 @@
         if is_finished:
             request.cancel_deadline_timer()
         latency_ms = now_ms() - started.started_at
-        # Positional arguments: with keywords, creating this event, one for each attempt, took a third longer.
+        # Positional arguments: each attempt creates this event, which took a third longer with keywords.
         self._deliver(
             AttemptEnded(request_id, started.number, attempt.backend_id, outcome, latency_ms, is_finished)
         )
--- a/gateway/network/dispatcher/dispatcher.py
+++ b/gateway/network/dispatcher/dispatcher.py
@@ -49,8 +49,8 @@
 class Dispatcher:
     """Owns the policy, and is its only caller.
 
-    Events are handled one after another. If an action causes an event immediately, that event is handled
-    after the other actions that the policy returned with the action.
+    Events are handled one after another. An event that an action causes immediately is handled once
+    all actions that the policy returned together have been carried out.
     """
 
     def __init__(  # noqa: PLR0913 - it connects all parts of the program
--- a/gateway/network/process/parts.py
+++ b/gateway/network/process/parts.py
@@ -25,7 +25,7 @@
 BYTES_PER_MB = 2**20
 
 BUFFER_MEMORY_SHARE = 0.2
-"""Fraction of the memory limit for incomplete backend replies, and again for unsent replies to clients."""
+"""Fraction of the memory limit for incomplete backend replies; unsent replies to clients get the same."""
 
 WATCH_RETRY_GRACE_SHARE = 0.25
 """Interval between calls of a watch while none is answered, as a fraction of the drain grace."""
--- a/gateway/policy/admission.py
+++ b/gateway/policy/admission.py
@@ -12,12 +12,12 @@
 
 SHED_RAMP_FRACTION = 0.5
 """Width of the range of queueing delays, as a fraction of the latency objective, in which the shed
-probability rises from 0 to 1 at a gateway with fewer than `MIN_IN_FLIGHT_FOR_ESTIMATE` allowed attempts in
-flight; other gateways shed all requests above the start of the range."""
+probability rises from 0 to 1. The range applies to gateways with fewer than `MIN_IN_FLIGHT_FOR_ESTIMATE`
+allowed attempts in flight; others shed all requests above its start."""
 
 LOW_PRIORITY_DELAY_REDUCTION = 0.25
-"""Fraction by which `SHED_DELAY_FRACTION` is reduced for a request class whose priority weight is 0; for
-other classes the reduction is proportional to how far their weight is below the largest."""
+"""Fraction by which `SHED_DELAY_FRACTION` is reduced for a request class of priority weight 0; the reduction
+falls linearly to 0 at the largest weight."""
 
 SPARE_DELAY_FRACTION = 0.1
 """Estimated queueing delay, as a fraction of the latency objective, below which there is spare capacity."""
@@ -26,8 +26,7 @@
 """Number of attempts that each backend may always have in flight, from all gateways together."""
 
 MIN_IN_FLIGHT_FOR_ESTIMATE = 2.0
-"""Minimum of `AdmissionController.allowed_in_flight` with which the number of attempts in flight at this
-gateway shows a queue."""
+"""Minimum `AdmissionController.allowed_in_flight` for the number of attempts in flight to show a queue."""
 
 RELIABLE_IN_FLIGHT = 9.0
 """Attempts in flight above which their number alone shows a queue: the response rate is then known to within
--- a/gateway/policy/backends.py
+++ b/gateway/policy/backends.py
@@ -43,7 +43,7 @@
     def __init__(self, endpoint: Endpoint) -> None:
         self.id = endpoint.backend_id
         self.in_flight = 0
-        self.started_at = -1.0  # no process starts then, so `update` creates the scores
+        self.started_at = -1.0  # no process starts at this time, so `update` creates the scores
         self.update(endpoint)
 
     def begin_attempt(self) -> None:
--- a/gateway/policy/leases.py
+++ b/gateway/policy/leases.py
@@ -22,8 +22,8 @@
 gets requests."""
 
 MIN_LOCAL_BURST_REQUESTS = 1.5
-"""If the fair share of the burst is less than this many requests of the largest cost, the customer's gateways
-share one bucket."""
+"""Minimum fair share of the burst that is spent locally, in requests of the largest cost; below it, the
+customer's gateways share one bucket."""
 
 DEMAND_DECAY_MS = 3_000.0
 """Time constant of the exponential decay of the demand at this gateway and at all gateways."""
@@ -35,8 +35,8 @@
 """Minimum unreported usage, in units, for which a call is made; less than that is rounding error."""
 
 LIKELY_EMPTY_FILL_TIMES = 2.0
-"""How long requests are assumed to be over quota after a shared bucket that was read as empty could admit
-one, in multiples of the time in which the bucket fills."""
+"""How long requests are still assumed to be over quota once a shared bucket that lacked tokens has had time
+to gain them, in multiples of the time in which the bucket fills."""
 
 MAX_SPEND_RATE_MULTIPLE = 5.0
 """Expected upper limit of the rate at which all gateways together spend a quota, as a multiple of its rate. A
--- a/gateway/policy/outlier_detection.py
+++ b/gateway/policy/outlier_detection.py
@@ -33,7 +33,7 @@
 """Failure score below which a backend counts as healthy for all request classes and plans."""
 
 FAILURE_COST = 8.0
-"""Multiple of a backend's cost that a failure probability of 1 adds to it, which puts the backend behind any
+"""Multiple of a backend's cost that is added at a failure probability of 1, which puts the backend behind any
 healthy one."""
 
 MIN_TIMEOUT_RATIO = 2.0
--- a/gateway/policy/request_lifecycle.py
+++ b/gateway/policy/request_lifecycle.py
@@ -11,11 +11,11 @@
 from .settings import RequestClass, Settings
 
 FINISH_MARGIN_MS = 50.0
-"""A request that is still pending this long before its deadline gets its final response then, so that the
-response arrives in time."""
+"""Milliseconds before its deadline at which a request that is still pending gets its final response, so that
+the response arrives in time."""
 
 TIMER_TOLERANCE_MS = 1.0
-"""A timer that fires at most this early counts as having fired on time."""
+"""Milliseconds by which a timer may fire early and still count as on time."""
 
 
 class RequestLifecycle:
@@ -98,7 +98,7 @@
         if request is None or now < request.check_at - TIMER_TOLERANCE_MS:
             return
         if now >= request.finish_by - TIMER_TOLERANCE_MS:
-            self._finish(request, actions)  # no request stays pending any longer
+            self._finish(request, actions)  # the final response is due
         elif not request.attempt_count:
             self._admit(now, request, actions)  # the counter has not responded in time
         else:
--- a/gateway/policy/retry_safety.py
+++ b/gateway/policy/retry_safety.py
@@ -16,8 +16,8 @@
 from .settings import DeduplicationScope, Idempotency
 
 DEDUPLICATION_MARGIN_MS = 50.0
-"""A retry starts at least this long before the deduplication window ends, so that it reaches the backend in
-time."""
+"""Minimum milliseconds from the start of a retry to the end of the deduplication window, so that the retry
+reaches the backend in time."""
 
 
 def is_safe_to_resend(request: PendingRequest) -> bool:
--- a/gateway/policy/ring.py
+++ b/gateway/policy/ring.py
@@ -36,7 +36,8 @@
         self.round_number = round_number
         self.has_cell_index = has_cell_index
         self.sort_keys: dict[int, bytes] = {}
-        self.backend_ids_by_cell: dict[bytes, dict[int, None]] = {}  # by `CELL_BYTES`, in insertion order
+        self.backend_ids_by_cell: dict[bytes, dict[int, None]] = {}
+        """Ids by the `CELL_BYTES` of the backends' records, in insertion order."""
         self._sorted_keys: SortedList[bytes] = SortedList()
 
     def __len__(self) -> int:
--- a/gateway/policy/shared_bucket.py
+++ b/gateway/policy/shared_bucket.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 PERIOD_MS = 15_000.0
-"""Length of a period. The counter keeps a total for a minute; a total is also read in the next period."""
+"""Length of a period. A total is read in its period and the next; the counter keeps it for a minute."""
 
 RETAINED_PERIODS = 4
 """Number of periods for which the counter keeps a total."""
--- a/gateway/policy/shared_bucket_reads.py
+++ b/gateway/policy/shared_bucket_reads.py
@@ -20,8 +20,9 @@
 from .settings import Plan, Settings
 
 MAX_RELATIVE_DEVIATION = 0.5
-"""Fraction of the burst by which a level may be out of bounds before the total is corrected, and fraction of
-a correction by which the resulting total may overshoot the expected one before the correction is undone."""
+"""Fraction of the burst by which a level may be out of bounds before the total is corrected; also the
+fraction of a correction by which the total may then overshoot the expected one before the correction is
+undone."""
 
 MAX_READ_WAIT_IN_TIMEOUTS = 2
 """Longest wait of a request for its read, in timeouts of a counter call; a read may need a second call."""
--- a/gateway/policy/subsetting.py
+++ b/gateway/policy/subsetting.py
@@ -29,8 +29,8 @@
 gateways."""
 
 MAX_CHANGES_AT_ONCE = 512
-"""Maximum number of backends that a snapshot adds or removes, or that a new ring is built of, without
-handling other events in between."""
+"""Maximum number of backends that a snapshot or a new ring adds or removes at once, before other events are
+handled."""
 
 REBUILD_STEP = 128
 """Number of backends that one step adds to a new ring; a step takes well under a millisecond."""
@@ -43,7 +43,7 @@
 
 
 def assign_window(gateway_index: int, gateway_count: int, ready_count: int) -> Window:
-    """Return a gateway's window while `ready_count` backends are ready; a window of all has no round."""
+    """Return a gateway's window of a ring of `ready_count` backends; a window of all of them has no round."""
     min_size = max(MIN_SUBSET_SIZE, MIN_GATEWAYS_PER_BACKEND * ready_count / gateway_count)
     # A power of two, which seldom changes, so that the gateway's round and permutation seldom change either.
     window_count: int = 2 ** max(0, math.floor(math.log2(max(1.0, ready_count / min_size))))
--- a/gateway/policy/usage_reporting.py
+++ b/gateway/policy/usage_reporting.py
@@ -27,7 +27,7 @@
         self.throttle = throttle
 
     def charge(self, request: PendingRequest, shortfall: float, actions: Actions) -> None:
-        """Charge a forwarded request's cost to the shared bucket; one beyond the quota spends nothing."""
+        """Charge a forwarded request's cost to the shared bucket; beyond the quota, charge nothing."""
         spent = request.cost if shortfall <= 0 else 0.0
         lease = request.lease
         lease.record_usage(spent, request.replace_reported_cost(spent))
