--- a/benchmarks/capacity_slopes/counter_calls.py
+++ b/benchmarks/capacity_slopes/counter_calls.py
@@ -50,7 +50,7 @@
 
 
 def measure_demand(gateway_set_size: int, demand: Demand) -> tuple[object, ...]:
-    """Return the requests, the forwarded fraction, calls and bytes per request, and bytes per call."""
+    """Return requests, the forwarded fraction, counter calls and bytes per request, and bytes per call."""
     fleet = VirtualFleet(gateway_set_size, metered_plan(demand.plan_rate, demand.burst))
     for number in range(math.ceil(MIN_EXPECTED_REQUESTS / SIMULATED_S / demand.request_rate)):
         fleet.add_customer(f"{number:016x}", demand.request_rate, list(range(gateway_set_size)))
--- a/benchmarks/capacity_slopes/counter_outage.py
+++ b/benchmarks/capacity_slopes/counter_outage.py
@@ -65,8 +65,7 @@
 def measure_outage(gateway_set_size: int, request_rate: float) -> list[float]:
     """Return the forwarded fraction of the quota in each phase, and the unreported usage.
 
-    The unreported usage is measured at the end of the outage, in bursts per customer, and precedes the
-    fraction of the last phase.
+    The unreported usage is the last item but one: bursts per customer at the end of the outage.
     """
     fleet = VirtualFleet(gateway_set_size, metered_plan(PLAN_RATE, BURST))
     for number in range(CUSTOMERS):
--- a/benchmarks/capacity_slopes/discovery_starts.py
+++ b/benchmarks/capacity_slopes/discovery_starts.py
@@ -42,10 +42,10 @@
 
 
 def measure_start(gateways: int) -> tuple[object, ...]:
-    """Return the numbers of calls and the delays when `gateways` gateways start together.
+    """Simulate that `gateways` gateways start together.
 
-    These are the calls in the busiest second, the rejected calls, and the seconds until half of the gateways
-    and until all of them have the list.
+    Return the calls in the busiest second, the rejected calls, and the seconds until half of the gateways and
+    until all of them have the list.
     """
     rng = random.Random(1)
     backoffs = [Backoff(gateways, MAX_LIST_AGE_S, random.Random(index)) for index in range(gateways)]
--- a/benchmarks/capacity_slopes/listed_backends.py
+++ b/benchmarks/capacity_slopes/listed_backends.py
@@ -29,7 +29,7 @@
 LIST_SIZES = (1_000, 10_000, 39_000)
 LIST_VERSION = 1_000_000
 SLOW_WORK_RUNS = 3
-"""Number of runs when work that takes long is measured."""
+"""Number of runs when the measured work takes long."""
 
 CONNECT_TIMEOUT_MS = 250.0
 KEEPALIVE_MS = 15_000.0
--- a/benchmarks/capacity_slopes/policies.py
+++ b/benchmarks/capacity_slopes/policies.py
@@ -22,7 +22,7 @@
 START_MS = 1_790_000_000_000.0
 """Start of the virtual time, in Unix milliseconds.
 
-It is a realistic date, because the names of the totals on the counter contain the number of a period.
+It is a realistic date, because the names of the counter's totals contain the number of a period.
 """
 
 DEADLINE_MS = 2_500.0
--- a/scale/control.py
+++ b/scale/control.py
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ControlCase:
-    """One checkout at one list size, its figures, and the result that receives its timer lag."""
+    """One checkout at one list size: its figures, and the run's result, which receives the timer lag."""
 
     program: str
     list_size: int
--- a/scale/fakes/endpoint_list.py
+++ b/scale/fakes/endpoint_list.py
@@ -97,7 +97,7 @@
     def change(self, count: int) -> WatchEvent:
         """Change each of the next `count` backends to its next health; return the watch event.
 
-        A call changes no backend twice, and never the marker, so a larger `count` is reduced.
+        A call changes no backend twice, and never the marker; `count` is capped accordingly.
         """
         count = min(count, len(self._change_order))
         positions = range(self._change_count, self._change_count + count)
--- a/scale/fleet_run.py
+++ b/scale/fleet_run.py
@@ -24,7 +24,7 @@
 """Seconds between the start of the load around a burst and the announcement of the burst."""
 
 CUSTOMER_NUMBER_STEP = 10_000_000
-"""Offset between the customer numbers of successive phases, so that no customer occurs in an earlier one."""
+"""Offset between the customer numbers of successive phases, so that no two phases share a customer."""
 
 STEADY_CHANGES = "steady changes"
 """Name of the phase with changes at an even rate, in tables and in the JSON result."""
--- a/scale/hollow_gateway.py
+++ b/scale/hollow_gateway.py
@@ -131,7 +131,7 @@
             self._watch_task.result()
 
     def applied_at(self, backend_id: int, since: float) -> float | None:
-        """Return when a change of a backend was first applied at or after `since`, or None if it was not yet.
+        """Return when a change of a backend was first applied at or after `since`, or None if no change was.
 
         Both times are in monotonic seconds.
         """
--- a/scale/machine.py
+++ b/scale/machine.py
@@ -63,7 +63,7 @@
 ) -> float:
     """Return an upper estimate of the number of the fleet's customers that one gateway serves in a phase.
 
-    `request_rate` is the gateway's, per second: a gateway serves no more customers than it gets requests.
+    `request_rate` is in requests per second at the gateway, which serves no more customers than requests.
     """
     return min(customers * gateways_per_customer / fleet, request_rate * seconds)
 
--- a/scale/result.py
+++ b/scale/result.py
@@ -79,7 +79,7 @@
         )
 
     def label(self, program: str) -> str:
-        """Return a space and the checkout's letter in tables, or "" if it is the only checkout."""
+        """Return the checkout's mark in tables: a space and a letter, or "" if it is the only checkout."""
         if len(self.programs) == 1:
             return ""
         return f" {ascii_uppercase[list(self.programs).index(program)]}"
--- a/tests/network/clients/test_client_endings.py
+++ b/tests/network/clients/test_client_endings.py
@@ -130,7 +130,7 @@
 
 @runs_in_loop
 async def test_read_ahead_memory_is_freed_once_processed() -> None:
-    """Otherwise, each connection in turn could keep the memory that all may use together to read ahead."""
+    """Otherwise, each connection in turn could keep as much memory as all together may use to read ahead."""
     async with running_listener(memory_bytes=16 * 2**20) as (listener, handler, port):
         peer = await connect(port)
         ids = [b"%05d" % number for number in range(10_000)]
--- a/tests/network/clients/test_request_parser.py
+++ b/tests/network/clients/test_request_parser.py
@@ -35,7 +35,7 @@
     (b"first=0", [b"first=", b"first=-1", b"first=x"], "first is no number"),
     (b"first=0", [b"first=1"], "set out of range"),
 ]
-"""A valid attribute, invalid replacements, and the reason for which requests with these are rejected."""
+"""A valid attribute, invalid replacements, and the reason why requests with them are rejected."""
 
 
 def replace_attribute(valid: bytes, invalid: bytes, command: bytes = b"API.READ") -> tuple[bytes, ...]:
--- a/tests/network/counter/test_counter_client.py
+++ b/tests/network/counter/test_counter_client.py
@@ -203,7 +203,7 @@
 
 @runs_in_loop
 async def test_malformed_response_ends_its_connection() -> None:
-    """The amount was added, so the call times out; later responses cannot be matched to calls."""
+    """As the amount may have been added, the call times out; later responses cannot be matched to calls."""
 
     async def script(fields: list[bytes]) -> ScriptedReply:
         return b"ok \r\nok 999\r\n" if fields[1] == b"malformed" else b"ok 7\r\n"
--- a/tests/network/discovery/test_backoff.py
+++ b/tests/network/discovery/test_backoff.py
@@ -14,7 +14,7 @@
 """Maximum queueing time of a call, in seconds; a call that would wait longer is rejected."""
 
 LOOSE_MAX_DELAY_S = 10.0
-"""A `max_delay_s`, in seconds, above `MAX_DELAY_S`, so that it does not lower the cap."""
+"""A `max_delay_s`, in seconds, that is above `MAX_DELAY_S` and so does not lower the cap."""
 
 
 def count_answered(gateway_count: int, capacity_per_s: float, until_s: float) -> int:
--- a/tests/network/discovery/test_delivery.py
+++ b/tests/network/discovery/test_delivery.py
@@ -19,7 +19,7 @@
 from tests.support.watch_harness import WatchHarness, open_watch
 
 LIST_LENGTH = 1_000
-"""Number of endpoints of a long list: many times what is delivered in one turn of the event loop."""
+"""Number of endpoints of a long list: many times those delivered in one iteration of the event loop."""
 
 
 class DeliveredPart(NamedTuple):
--- a/tests/network/process/test_starts.py
+++ b/tests/network/process/test_starts.py
@@ -148,7 +148,7 @@
 
 
 def last_log_lines(configs: dict[int, Path]) -> str:
-    """Return the last log line of each process that logged an error."""
+    """Return the last line of each log that contains an error."""
     logs = [path.with_suffix(".log").read_text() for path in configs.values()]
     return "\n".join(log.splitlines()[-1] for log in logs if "Error" in log)
 
@@ -158,7 +158,7 @@
 def test_nine_in_ten_gateways_that_start_at_once_are_ready_in_time(
     state: str, ports: list[int], tmp_path: Path
 ) -> None:
-    """The restart follows a SIGKILL that ends the processes while clients are connected."""
+    """After the first start, SIGKILL ends the processes while clients are connected, and all restart."""
 
     async def scenario() -> None:
         async with discovery_port(state) as discovery:
--- a/tests/network/test_dispatcher_endings.py
+++ b/tests/network/test_dispatcher_endings.py
@@ -69,7 +69,7 @@
         await wait_until(lambda: harness.counter.received)
 
         disconnecting_client.close()
-        other_customer = b"00000000b4d65522"  # the lease of this customer does not wait for the same response
+        other_customer = b"00000000b4d65522"  # this customer's lease does not wait for the delayed response
         assert await harness.request(other, id=b"1", customer=other_customer) == b"value"
         counter_is_released.set()
         for number in (b"2", b"3"):
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -28,7 +28,7 @@
 def test_overload_sheds_the_lower_priority_first_and_ends_with_the_load(
     unlimited_harness: PolicyHarness,
 ) -> None:
-    """If the latency alone decided, an overload and its end would be noticed only a whole queue later."""
+    """If the latency alone decided, an overload and its end would be noticed only once a queue is served."""
     harness = unlimited_harness
     serve_steadily(harness)
 
@@ -71,7 +71,7 @@
 
 
 def test_a_gateway_with_few_requests_sheds_by_recent_latency() -> None:
-    """Three requests in flight at each of hundreds of gateways are an overload that no gateway can detect."""
+    """An overload by three requests in flight at each of hundreds of gateways shows in no gateway's count."""
     harness = PolicyHarness.without_quotas(gateway_count=300)
 
     forwarded_before = count_forwarded_one_at_a_time(harness, latency_ms=100)
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -107,7 +107,7 @@
 
 def test_an_overloaded_counter_is_called_where_the_result_is_not_known() -> None:
     """A call for every request from all gateways would overload the counter until no call succeeds."""
-    fleet = simulate_small_quotas(counter_calls_per_s=180)  # about one call for each request
+    fleet = simulate_small_quotas(counter_calls_per_s=180)  # capacity for about one call per request
 
     assert fleet.forwarded_within_quota() > 0.95
     assert fleet.forwarded_beyond_quota() < 0.1
@@ -118,8 +118,10 @@
 LOW_RATE = Plan("thin", rate=0.8, burst=4, over_quota_cost=1.2)
 HIGH_RATE = Plan("wide", rate=4.2, burst=8, over_quota_cost=0.8)
 REFERENCE_DELAY_MS = 100.0
-"""Delay with which the reference sees a quota's state. Any endpoint list or meter takes longer to report, so
-the reference is a strict measure."""
+"""Delay, in milliseconds, with which the reference sees a quota's state.
+
+Any endpoint list or meter reports later, so the reference is a strict measure.
+"""
 
 
 class TimedTokens(NamedTuple):
@@ -155,7 +157,7 @@
 
 
 class FullSizeFleet(MeteredFleet):
-    """A fleet of full size that also adds up what the delayed reference pays for the same requests."""
+    """A fleet of full size that also adds up the delayed reference's cost of the same requests."""
 
     def __init__(self, customers: list[Customer], conditions: FleetConditions) -> None:
         super().__init__(FULL_SIZE_GATEWAY_COUNT, customers, conditions)
@@ -170,7 +172,7 @@
         super().send_new_request(customer)
 
     def reference_over_quota_cost(self) -> float:
-        """Return the cost that the delayed reference pays, per unit that one gateway would forward."""
+        """Return the delayed reference's cost, per unit that one gateway would forward."""
         return self._reference_cost / self.units_within_quota
 
     def timely_counter_responses(self) -> float:
@@ -226,7 +228,7 @@
 
 def test_a_fleet_of_full_size_does_not_prolong_the_overload_of_its_counter() -> None:
     """Once calls queue for longer than the timeout, the counter handles calls that no gateway waits for."""
-    fleet = simulate_full_size(counter_calls_per_s=500)  # less than one call for each request
+    fleet = simulate_full_size(counter_calls_per_s=500)  # capacity for less than one call per request
 
     assert fleet.forwarded_within_quota() > 0.87
     assert fleet.over_quota_cost() < min(0.16, fleet.reference_over_quota_cost() + 0.1)
@@ -257,7 +259,7 @@
 
 
 def test_few_requests_in_flight_at_slow_backends_are_shed() -> None:
-    """No gateway of a large fleet sees a queue of its own, though the requests of all gateways share one."""
+    """In a large fleet, the requests of all gateways share a queue that no single gateway sees."""
     fleet = simulate_without_quotas(lambda _rng, _backend_id: 1_500.0)
 
     requested = fleet.counts[CountKey(FleetEvent.REQUESTED, FREE.name)]
--- a/tests/policy/test_lease_refresh.py
+++ b/tests/policy/test_lease_refresh.py
@@ -86,7 +86,7 @@
 
 
 def test_a_counter_that_lost_its_totals_does_not_change_the_lease(harness: PolicyHarness) -> None:
-    """A total that falls within its period does not show low demand: the lease is kept until a new period."""
+    """A total that drops during its period does not show low demand: the lease is kept until a new period."""
     call = only_counter_call_in(harness.request())
     harness.respond_to_counter(call, 30.0)
     lease = harness.lease()
--- a/tests/policy/test_shared_bucket_reads.py
+++ b/tests/policy/test_shared_bucket_reads.py
@@ -109,11 +109,11 @@
 ) -> None:
     """A call would load the counter without a benefit.
 
-    Without a default for requests whose bucket is not read, the customer would be rejected.
+    Without a default for unread buckets, the requests would be rejected.
     """
     call_count = 0
     forwarded = 0
-    for _ in range(20):  # they stay in flight, so that capacity is neither spare nor scarce
+    for _ in range(20):  # these requests stay in flight, so that capacity is neither spare nor scarce
         harness.request(plan="none", customer="other")
     harness.set_response_rate(100.0)
 
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -31,7 +31,7 @@
 
 @dataclass
 class Observation:
-    """The time window in which a restarted backend used most of its budget, and counts of the scenario."""
+    """The time window with the highest budget use of a restarted backend, and counts of the scenario."""
 
     budget_use: float = 0.0
     """Work received in that window, as a fraction of the budget."""
@@ -50,7 +50,7 @@
 
 
 def observe(scenario: Scenario, seed: int, draw_work: DrawWork) -> Observation:
-    """Play a scenario until its restarted backends are warm; return the window that used most of a budget."""
+    """Play a scenario until restarted backends are warm; return the window with the highest budget use."""
     fleet = SlowStartFleet(scenario, seed, draw_work)
     fleet.run(WARM_TIME_S)
     fleet.restart_backends()
@@ -64,7 +64,7 @@
 
 
 def observe_backend(scenario: Scenario, received: list[ReceivedAttempt], observation: Observation) -> None:
-    """Slide a time window over the attempts that a backend received; keep the one with the highest use."""
+    """Slide a time window over a backend's attempts; record where its budget use is the highest."""
     window: deque[ReceivedAttempt] = deque()
     work_in_window = 0.0
     for attempt in received:
--- a/tests/support/gateway_harness.py
+++ b/tests/support/gateway_harness.py
@@ -23,7 +23,7 @@
 from tests.support.resp_peer import LOCAL, RespPeer
 
 QUICK_SHUTDOWN = ShutdownSchedule(keep_serving_s=0.01, fail_requests_s=3.4)
-"""In tests, clients need no time to move to another gateway, so this one need not keep serving."""
+"""A shutdown that soon stops serving: in tests, clients need no time to move to another gateway."""
 
 SETTINGS: dict[str, Any] = {
     "az": "a",
--- a/tests/support/reference_subset.py
+++ b/tests/support/reference_subset.py
@@ -43,7 +43,7 @@
         return [endpoint.backend_id for endpoint in self.listed.values() if endpoint.state is READY]
 
     def backend_ids(self) -> list[int]:
-        """Return the ids of the gateway's subset: its window of its round's permutation, in order."""
+        """Return the ids of the gateway's subset, in order: a window of the permutation of its round."""
         ready_ids = self.ready_ids()
         ready_count = len(ready_ids)
         min_size = max(MIN_SUBSET_SIZE, MIN_GATEWAYS_PER_BACKEND * ready_count / max(1, self.gateway_count))
--- a/tests/support/slow_start_fleet.py
+++ b/tests/support/slow_start_fleet.py
@@ -236,7 +236,7 @@
         self.scheduler.schedule(latency_ms, lambda: self._end_attempt(key, outcome))
 
     def finish_without_result(self, request_id: str, retry_after_ms: float) -> None:
-        """Mark a rejected or failed request as finished; its open attempts report this when they end."""
+        """Mark a rejected or failed request as finished, which its open attempts report when they end."""
         self._finished_requests.add(request_id)
         super().finish_without_result(request_id, retry_after_ms)
 
