--- a/scale/__main__.py
+++ b/scale/__main__.py
@@ -115,7 +115,7 @@
     "messages_timeout_s",
     type=click.FloatRange(1, 1_200),
     default=120.0,
-    help="Time-out for applying the burst of messages with one change each, in seconds.",
+    help="Timeout for applying the burst of messages with one change each, in seconds.",
 )
 @click.option(
     "--repeats", type=click.IntRange(1, 100), default=3, help="Number of measurements of each figure."
@@ -223,7 +223,7 @@
     "change_timeout_s",
     type=click.FloatRange(1, 600),
     default=30.0,
-    help="Time-out for all hollow gateways to apply a change, in seconds.",
+    help="Timeout for all hollow gateways to apply a change, in seconds.",
 )
 @program_option
 @common_options
