--- a/gateway/policy/subsetting.py
+++ b/gateway/policy/subsetting.py
@@ -29,8 +29,8 @@
 gateways."""
 
 MAX_CHANGES_AT_ONCE = 512
-"""Maximum number of backends that a snapshot or a new ring adds or removes at once, before other events are
-handled."""
+"""Maximum number of backends that a snapshot adds or removes, or that a new ring is built from, without other
+events being handled in between."""
 
 REBUILD_STEP = 128
 """Number of backends that one step adds to a new ring; a step takes well under a millisecond."""
